--- a/bench/members_scale.cpp
+++ b/bench/members_scale.cpp
@@ -1,7 +1,7 @@
-// The membership view at size, in simulated time: the very MembershipView that the program runs, its
-// datagrams as long as the codec makes them. Prints one row a size for docs/design/members.md.
+// Measures fleets of different sizes in simulated time, with the same MembershipView as the program and the
+// datagram sizes of the codec. Prints one table row per fleet size for docs/design/members.md.
 //
-//   members_scale [SIZE ...] [--seed N]     default: 16 300 2000
+//   members_scale [SIZE ...] [--seed N]     default sizes: 16 300 2000, default seed: 1
 #include <chrono>
 #include <cstddef>
 #include <cstdint>
@@ -31,23 +31,23 @@
 using tinspan::members::StateChange;
 namespace sim = tinspan::members::sim;
 
-constexpr Micros kStep = 100ms;
+constexpr Micros kStep = 100ms;  // of simulated time between two checks
 constexpr Micros kTrafficSpan = 60s;
 constexpr Micros kDetectionLimit = 300s;
 constexpr Micros kHealLimit = 600s;
-constexpr int kLargeFleet = 1'000;  // above it the lossy run is shorter
+constexpr int kLargeFleet = 1'000;  // above this size the run with packet loss is shorter
 constexpr double kSecondsPerHour = 3'600;
 
 double Seconds(Micros span) { return static_cast<double>(span.count()) / 1e6; }
 
-// The deaths of one member as the views report them.
-struct WatchedDeath {
-  int observers = 0;
-  Micros first{0};
-  Micros last{0};
+// The views' declarations that one member is dead.
+struct DeathReports {
+  int observers = 0;   // number of views that declared it dead
+  Micros first_at{0};  // time of the first declaration
+  Micros last_at{0};   // time of the last one
 };
 
-// What each view holds of each member, followed through the changes alone.
+// The state of each member in each view, maintained from the reported state changes.
 class StateMatrix {
  public:
   StateMatrix(sim::Fleet& fleet, int count)
@@ -58,38 +58,39 @@
     };
   }
 
-  void Watch(int member) {
-    watched_ = member;
-    death_ = {};
+  // Starts to count the declarations of this member's death.
+  void TrackDeath(int member) {
+    tracked_member_ = member;
+    death_reports_ = {};
   }
-  const WatchedDeath& Death() const { return death_; }
-  // Pairs of an observer and a member that it does not hold alive.
-  long long NotAlive() const { return not_alive_; }
+  const DeathReports& Deaths() const { return death_reports_; }
+  // Number of pairs of a view and a member that is not alive in it.
+  long long NotAliveCount() const { return not_alive_count_; }
 
  private:
   void OnChange(int observer, const StateChange& change, Micros now) {
     if (change.is_refutation) return;
     const int member = member_by_name_.at(change.name);
-    State& held = states_[(static_cast<std::size_t>(observer) * static_cast<std::size_t>(count_)) +
-                          static_cast<std::size_t>(member)];
-    if (held == change.current) return;
-    if (held == State::kAlive) ++not_alive_;
-    if (change.current == State::kAlive) --not_alive_;
-    if (member == watched_ && change.current == State::kDead) CountDeath(now);
-    held = change.current;
+    State& state = states_[(static_cast<std::size_t>(observer) * static_cast<std::size_t>(count_)) +
+                           static_cast<std::size_t>(member)];
+    if (state == change.current) return;
+    if (state == State::kAlive) ++not_alive_count_;
+    if (change.current == State::kAlive) --not_alive_count_;
+    if (member == tracked_member_ && change.current == State::kDead) CountDeath(now);
+    state = change.current;
   }
   void CountDeath(Micros now) {
-    if (death_.observers == 0) death_.first = now;
-    ++death_.observers;
-    death_.last = now;
+    if (death_reports_.observers == 0) death_reports_.first_at = now;
+    ++death_reports_.observers;
+    death_reports_.last_at = now;
   }
 
   int count_;
   std::vector<State> states_;
   std::map<std::string, int> member_by_name_;
-  long long not_alive_ = 0;
-  std::optional<int> watched_;
-  WatchedDeath death_;
+  long long not_alive_count_ = 0;
+  std::optional<int> tracked_member_;
+  DeathReports death_reports_;
 };
 
 std::size_t EncodedSize(const Message& message) { return Encode(message, "shop").size(); }
@@ -102,14 +103,14 @@
 }
 
 struct Detection {
-  double bytes_per_second = 0;  // of one member while all is well
-  double datagrams_per_second = 0;
-  double first = 0;       // seconds until some view holds a killed member dead
-  double everywhere = 0;  // seconds until all do; -1: not within the limit
+  double bytes_per_second = 0;      // sent by one member, without faults
+  double datagrams_per_second = 0;  // likewise
+  double first_seconds = 0;         // until the first view declares a killed member dead
+  double all_seconds = 0;           // until all views have done so; -1: not within the limit
 };
 
-// Traffic while all is well, then the detection of a crash. Bytes are counted here alone: encoding every
-// message is slow.
+// Measures the traffic without faults, then the detection of a crash. Only this measurement counts bytes,
+// since encoding every message is slow.
 Detection MeasureDetection(int count, std::uint64_t seed) {
   sim::Fleet fleet = StartFleet(count, seed, EncodedSize);
   StateMatrix matrix(fleet, count);
@@ -121,24 +122,25 @@
   result.bytes_per_second = static_cast<double>(fleet.BytesSent() - bytes_before) / span / count;
   result.datagrams_per_second = static_cast<double>(fleet.DatagramsSent() - datagrams_before) / span / count;
   const int victim = count / 2;
-  matrix.Watch(victim);
+  matrix.TrackDeath(victim);
   const Micros killed_at = fleet.Now();
   fleet.Kill(victim);
-  while (matrix.Death().observers < count - 1 && fleet.Now() - killed_at < kDetectionLimit) {
+  while (matrix.Deaths().observers < count - 1 && fleet.Now() - killed_at < kDetectionLimit) {
     fleet.RunFor(kStep);
   }
-  result.first = Seconds(matrix.Death().first - killed_at);
-  const bool is_everywhere = matrix.Death().observers >= count - 1;
-  result.everywhere = is_everywhere ? Seconds(matrix.Death().last - killed_at) : -1;
+  result.first_seconds = Seconds(matrix.Deaths().first_at - killed_at);
+  const bool is_complete = matrix.Deaths().observers >= count - 1;
+  result.all_seconds = is_complete ? Seconds(matrix.Deaths().last_at - killed_at) : -1;
   return result;
 }
 
-struct Healing {
-  long long not_alive = 0;  // pairs of a view and a member not alive in it when the partition ends
-  double seconds = 0;       // until all are alive in all views; -1: not within the limit
+struct HealingResult {
+  long long not_alive_count = 0;  // pairs of a view and a member not alive in it, when the partition ends
+  double seconds = 0;             // until all members are alive in all views; -1: not within the limit
 };
 
-Healing MeasureHealing(int count, std::uint64_t seed, Micros partition_length) {
+// Measures the convergence after a partition of that length between the two halves of the fleet.
+HealingResult MeasureHealing(int count, std::uint64_t seed, Micros partition_length) {
   sim::Fleet fleet = StartFleet(count, seed);
   StateMatrix matrix(fleet, count);
   std::vector<int> side;
@@ -146,21 +148,24 @@
   for (int member = 0; member < count / 2; ++member) side.push_back(member);
   fleet.Partition(side);
   fleet.RunFor(partition_length);
-  Healing result;
-  result.not_alive = matrix.NotAlive();
+  HealingResult result;
+  result.not_alive_count = matrix.NotAliveCount();
   fleet.UnblockAllLinks();
   const Micros healed_at = fleet.Now();
-  while (matrix.NotAlive() > 0 && fleet.Now() - healed_at < kHealLimit) fleet.RunFor(kStep);
-  result.seconds = matrix.NotAlive() > 0 ? -1 : Seconds(fleet.Now() - healed_at);
-  std::fprintf(stderr, "%d: healed %.1f s (%lld)\n", count, result.seconds, result.not_alive);
+  while (matrix.NotAliveCount() > 0 && fleet.Now() - healed_at < kHealLimit) fleet.RunFor(kStep);
+  result.seconds = matrix.NotAliveCount() > 0 ? -1 : Seconds(fleet.Now() - healed_at);
+  std::fprintf(stderr, "%d members: partition healed after %.1f s (%lld pairs not alive)\n", count,
+               result.seconds, result.not_alive_count);
   return result;
 }
 
-struct LossRates {  // a member-hour
+// False deaths and suspicions under packet loss, per member and hour.
+struct LossRates {
   double wrongly_dead = 0;
   double suspicions = 0;
 };
 
+// Measures a run with 10% packet loss.
 LossRates MeasureLoss(int count, std::uint64_t seed) {
   const Micros span = count > kLargeFleet ? 300s : 3'600s;
   sim::Fleet fleet = StartFleet(count, seed);
@@ -182,17 +187,17 @@
 void Measure(int count, std::uint64_t seed) {
   const auto started_at = std::chrono::steady_clock::now();
   const Detection detection = MeasureDetection(count, seed);
-  std::fprintf(stderr, "%d: dead %.1f, everywhere %.1f s, %.0f bytes/s\n", count, detection.first,
-               detection.everywhere, detection.bytes_per_second);
-  const Healing short_partition = MeasureHealing(count, seed + 1, 10s);
-  const Healing long_partition = MeasureHealing(count, seed + 2, 60s);
+  std::fprintf(stderr, "%d members: first declared dead after %.1f s, by all after %.1f s, %.0f bytes/s\n",
+               count, detection.first_seconds, detection.all_seconds, detection.bytes_per_second);
+  const HealingResult short_partition = MeasureHealing(count, seed + 1, 10s);
+  const HealingResult long_partition = MeasureHealing(count, seed + 2, 60s);
   const LossRates loss = MeasureLoss(count, seed + 3);
   std::printf("| %d | %.1f | %.1f | %.1f (%lld) | %.1f (%lld) | %.4f | %.2f | %.0f | %.1f |\n", count,
-              detection.first, detection.everywhere, short_partition.seconds, short_partition.not_alive,
-              long_partition.seconds, long_partition.not_alive, loss.wrongly_dead, loss.suspicions,
-              detection.bytes_per_second, detection.datagrams_per_second);
+              detection.first_seconds, detection.all_seconds, short_partition.seconds,
+              short_partition.not_alive_count, long_partition.seconds, long_partition.not_alive_count,
+              loss.wrongly_dead, loss.suspicions, detection.bytes_per_second, detection.datagrams_per_second);
   const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - started_at;
-  std::fprintf(stderr, "%d members: %.0f s\n", count, elapsed.count());
+  std::fprintf(stderr, "%d members: measured in %.0f s\n", count, elapsed.count());
   std::fflush(stdout);
 }
 
@@ -201,7 +206,7 @@
   std::uint64_t seed = 1;
 };
 
-// Ends the process with status 2 where an argument is no size.
+// Exits with status 2 where an argument is not a valid fleet size.
 Arguments Parse(const std::vector<const char*>& words) {
   constexpr int kDecimal = 10;
   Arguments arguments;
@@ -213,7 +218,7 @@
     }
     const int size = static_cast<int>(std::strtol(word, nullptr, kDecimal));
     if (size < 2) {
-      std::fprintf(stderr, "members_scale: '%s' is no size of 2 or more\n", word);
+      std::fprintf(stderr, "members_scale: expected a fleet size of 2 or more, got '%s'\n", word);
       std::exit(2);
     }
     arguments.sizes.push_back(size);
--- a/src/members/codec.cpp
+++ b/src/members/codec.cpp
@@ -20,13 +20,13 @@
 namespace {
 
 constexpr std::string_view kMagic = "TSM";
-constexpr std::size_t kHeaderBytes = kMagic.size() + 1;  // and the version
+constexpr std::size_t kHeaderBytes = kMagic.size() + 1;  // the magic and the version
 constexpr std::uint32_t kMaxPort = std::numeric_limits<std::uint16_t>::max();
-constexpr std::uint64_t kMaxAgeMillis = 365ULL * 86'400'000;  // a year
+constexpr std::uint64_t kMaxAgeMillis = 365ULL * 86'400'000;  // one year
 constexpr std::int64_t kMicrosPerMilli = 1'000;
-constexpr const char* kNameRule = "1 to 64 letters, digits, '-', '_' or '.'";
+constexpr const char* kNameRule = "expected 1 to 64 letters, digits, '-', '_' or '.'";
 
-// Envelope.kind in a datagram.
+// The values of Envelope.kind.
 enum class WireKind : std::uint8_t {
   kPing = 0,
   kPingRequest = 1,
@@ -54,7 +54,7 @@
   for (const std::uint64_t bucket : *digest) envelope.add_digest(bucket);
 }
 
-// Writes the fields of a message's body.
+// Sets the envelope's fields for the body of a message.
 class BodyEncoder {
  public:
   explicit BodyEncoder(wire::Envelope& envelope) : envelope_(envelope) {}
@@ -122,7 +122,7 @@
     return Failed(DecodeFailure::kOversized, std::to_string(bytes.size()) + " bytes");
   }
   if (bytes.size() < kHeaderBytes || !bytes.starts_with(kMagic)) {
-    return Failed(DecodeFailure::kForeign, "no header of the fleet view");
+    return Failed(DecodeFailure::kForeign, "no header of the membership protocol");
   }
   const auto version = static_cast<std::uint8_t>(bytes[kMagic.size()]);
   if (version != kProtocolVersion) {
@@ -141,21 +141,21 @@
     return Malformed(std::string("target: ") + kNameRule);
   }
   if (envelope.from_port() > kMaxPort || envelope.target_port() > kMaxPort) {
-    return Malformed("a port above 65535");
+    return Malformed("sender or target port above 65535");
   }
   if (envelope.digest_size() != 0 && envelope.digest_size() != static_cast<int>(kDigestBuckets)) {
-    return Malformed("digest: 0 or 64 buckets");
+    return Malformed("digest: expected 0 or 64 buckets");
   }
   if (envelope.updates_size() > static_cast<int>(kMaxUpdatesPerMessage)) {
-    return Malformed("updates: 64 at most");
+    return Malformed("updates: expected 64 at most");
   }
-  if (envelope.carried().size() > kMaxPayloadBytes) return Malformed("payload: 1000 bytes at most");
+  if (envelope.carried().size() > kMaxPayloadBytes) return Malformed("payload: expected 1000 bytes at most");
   return {};
 }
 
 Check CheckClaims(const wire::Update& update) {
   if (update.duties_size() > static_cast<int>(kMaxLeaseClaims)) {
-    return Malformed("update: 8 leases at most");
+    return Malformed("update: expected 8 lease claims at most");
   }
   for (const wire::Claim& claim : update.duties()) {
     if (!IsName(claim.duty())) return Malformed(std::string("update: lease: ") + kNameRule);
@@ -165,10 +165,10 @@
 
 Check CheckUpdate(const wire::Update& update) {
   if (!IsName(update.name())) return Malformed(std::string("update: name: ") + kNameRule);
-  if (update.port() > kMaxPort) return Malformed("update: a port above 65535");
+  if (update.port() > kMaxPort) return Malformed("update: port above 65535");
   if (update.state() > static_cast<std::uint32_t>(State::kLeft)) return Malformed("update: state");
   if (update.failing_size() > static_cast<int>(kMaxFailingServers)) {
-    return Malformed("update: 32 servers at most");
+    return Malformed("update: expected 32 failing servers at most");
   }
   if (Check claims = CheckClaims(update); !claims) return claims;
   for (const std::string* text : {&update.zone(), &update.by()}) {
@@ -176,8 +176,8 @@
       return Malformed(std::string("update: zone or suspector: ") + kNameRule);
     }
   }
-  if (update.incarnation() > kMaxIncarnation) return Malformed("update: an incarnation above 2^62");
-  if (update.age_ms() > kMaxAgeMillis) return Malformed("update: an age over a year");
+  if (update.incarnation() > kMaxIncarnation) return Malformed("update: incarnation above 2^62");
+  if (update.age_ms() > kMaxAgeMillis) return Malformed("update: age above one year");
   return {};
 }
 
@@ -274,7 +274,7 @@
   const std::string_view body = bytes.substr(kHeaderBytes);
   wire::Envelope envelope;
   if (!envelope.ParseFromArray(body.data(), static_cast<int>(body.size()))) {
-    return Malformed("not an envelope");
+    return Malformed("does not parse as an Envelope");
   }
   if (const Check check = CheckEnvelope(envelope, fleet); !check) {
     return tl::make_unexpected(check.error());
--- a/src/members/codec.hpp
+++ b/src/members/codec.hpp
@@ -1,7 +1,8 @@
-// Messages of the membership protocol as datagrams and back (src/members/members.proto). Without I/O.
+// Encodes the messages of the membership protocol as datagrams and decodes them (src/members/members.proto).
+// Performs no I/O.
 //
-// A datagram is at most `max_bytes` long: Encode leaves out updates from the end until it fits (they are sent
-// again later), Decode rejects a longer one unread.
+// A datagram is at most `max_bytes` long: Encode drops updates from the end until the datagram fits (they are
+// sent again later), and Decode rejects a longer datagram without parsing it.
 #pragma once
 
 #include <cstddef>
@@ -15,30 +16,30 @@
 namespace tinspan::members {
 
 constexpr std::uint8_t kProtocolVersion = 1;
-constexpr std::size_t kMaxDatagramBytes = 1'400;  // below a path's MTU, so that IP fragments nothing
+constexpr std::size_t kMaxDatagramBytes = 1'400;  // below the path MTU, so that IP does not fragment
 
 // Why a datagram was rejected.
 enum class DecodeFailure : std::uint8_t {
   kOversized,
   kForeign,    // no header of this protocol, or another fleet's name
-  kVersion,    // a header of this protocol with another version
-  kMalformed,  // protobuf that does not parse, or fields out of range
+  kVersion,    // another version of this protocol
+  kMalformed,  // the protobuf message does not parse, or a field is out of range
 };
 constexpr std::size_t kDecodeFailureCount = 4;
 
-// The failure's word in logs.
+// The failure's name in logs.
 const char* Name(DecodeFailure failure);
 
 struct DecodeError {
   DecodeFailure failure = DecodeFailure::kMalformed;
-  std::string detail;  // what was wrong, without the datagram's bytes
+  std::string detail;  // for the log; never contains bytes of the datagram
 };
 
-// The datagram of `message` in the fleet of that name.
+// Encodes `message` as a datagram of the fleet of that name.
 std::string Encode(const Message& message, std::string_view fleet, std::size_t max_bytes = kMaxDatagramBytes);
 
-// The message in a datagram. Its fields are within the limits of members/types.hpp, and its names pass
-// IsName.
+// Decodes a datagram. The fields of the returned message are within the limits of members/types.hpp, and its
+// names are valid by IsName. Returns an error for any other datagram.
 tl::expected<Message, DecodeError> Decode(std::string_view bytes, std::string_view fleet,
                                           std::size_t max_bytes = kMaxDatagramBytes);
 
--- a/src/members/dissemination.hpp
+++ b/src/members/dissemination.hpp
@@ -1,5 +1,5 @@
-// Infection-style dissemination (SWIM, section 4.1): changes of members ride on the failure detector's
-// messages, those sent the fewest times first, each one a bounded number of times.
+// Infection-style dissemination (SWIM, section 4.1): updates about members are piggybacked on the failure
+// detector's messages. The least often sent updates go first, and each one is sent a bounded number of times.
 #pragma once
 
 #include <map>
@@ -16,18 +16,20 @@
 
 class DisseminationQueue {
  public:
-  // All outlive this object.
+  // All arguments must outlive this object.
   DisseminationQueue(const Options& options, const MemberTable& table, MembershipStats& stats)
       : options_(options), table_(table), stats_(stats) {}
 
-  // Queues the present state of a member, in place of an older one of it.
+  // Queues the member of that name, with its count of transmissions reset to 0.
   void Enqueue(const std::string& name);
-  // Takes a member out of the queue.
+  // Removes a member from the queue, if it is queued.
   void Remove(const std::string& name);
-  // The updates to piggyback on one message, within the budget of bytes; counts them as sent once more.
+  // The updates to piggyback on one message, within Options::update_budget_bytes and kMaxUpdatesPerMessage.
+  // Counts each of them as sent once more, and removes those that reached the limit.
   std::vector<MemberUpdate> NextUpdates(Micros now);
 
  private:
+  // How often one update is sent; grows with the logarithm of the fleet's size.
   int TransmitLimit() const;
   void SetTransmitCount(const std::string& name, int count);
 
--- a/src/members/local_health.hpp
+++ b/src/members/local_health.hpp
@@ -1,6 +1,6 @@
 // Lifeguard's local health multiplier (Dadgar, Phillips, Currey: "Lifeguard: Local Health Awareness for More
-// Accurate Failure Detection", section III.A): a member that finds itself slow stretches its probes' times,
-// so that it does not suspect others for its own fault.
+// Accurate Failure Detection", section III.A): a member that detects that it is slow itself lengthens its
+// probe interval and timeout, so that it does not suspect others because of its own delays.
 #pragma once
 
 #include <algorithm>
@@ -12,17 +12,18 @@
 
 class LocalHealth {
  public:
-  // `options` outlives this object.
+  // `options` must outlive this object.
   explicit LocalHealth(const Options& options) : options_(options) {}
 
-  // Adds `delta` to the multiplier: positive where this member seems slow, negative where a probe succeeded.
+  // Adds `delta` to the multiplier, within its limits: positive where this member appears to be slow,
+  // negative after a successful probe.
   void Adjust(int delta) { multiplier_ = std::clamp(multiplier_ + delta, 0, options_.max_local_health); }
 
-  // 0 (healthy) to Options::max_local_health.
+  // The multiplier: 0 (healthy) to Options::max_local_health.
   int Multiplier() const { return multiplier_; }
-  // The probe interval as it is now.
+  // The probe interval at the current multiplier.
   Micros ProbeInterval() const { return options_.probe_interval * (multiplier_ + 1); }
-  // The time-out of a direct ping as it is now.
+  // The timeout of a direct ping at the current multiplier.
   Micros ProbeTimeout() const { return options_.probe_timeout * (multiplier_ + 1); }
 
  private:
--- a/src/members/member_table.cpp
+++ b/src/members/member_table.cpp
@@ -15,8 +15,8 @@
 namespace tinspan::members {
 namespace {
 
-// The finalizer of splitmix64 (Steele, Lea, Flood: "Fast Splittable Pseudorandom Number Generators") over two
-// words. All members of a fleet must use the same one.
+// Hashes two words with the finalizer of splitmix64 (Steele, Lea, Flood: "Fast Splittable Pseudorandom Number
+// Generators"). All members of a fleet must use the same function, or their digests always differ.
 std::uint64_t Mix(std::uint64_t first, std::uint64_t second) {
   std::uint64_t mixed = (first * 0x9e3779b97f4a7c15ULL) + second + 0x632be59bd9b4e019ULL;
   mixed = (mixed ^ (mixed >> 30)) * 0xbf58476d1ce4e5b9ULL;
@@ -30,7 +30,7 @@
   return static_cast<std::size_t>(member.name_hash % kDigestBuckets);
 }
 
-// Never 0, which marks a member that is not in the digest yet.
+// The member's contribution to the digest. Never 0, which marks a member that is not in the digest yet.
 std::uint64_t DigestEntry(const Member& member) {
   const std::uint64_t version = (member.incarnation * 4) + static_cast<std::uint64_t>(member.state);
   return Mix(Mix(member.name_hash, version), member.report_version) | 1;
@@ -46,7 +46,7 @@
   update.incarnation = member.incarnation;
   update.state = member.state;
   update.age = IsDeparted(member.state) ? now - member.state_since : Micros{0};
-  // The suspector heard of last, so that each one reaches the others as a confirmation.
+  // The suspector added last, so that each suspector is disseminated and counts as a confirmation elsewhere.
   if (member.state == State::kSuspect) update.suspected_by = member.latest_suspector;
   update.report_version = member.report_version;
   update.failing_servers = member.failing_servers;
@@ -114,7 +114,7 @@
   if (now < next_expiry_) return erased;
   next_expiry_ = Micros::max();
   for (auto departed = departed_.begin(); departed != departed_.end();) {
-    if (IsSelf(*departed)) {  // a member that leaves keeps itself until it ends
+    if (IsSelf(*departed)) {  // a leaving member stays in its own view
       ++departed;
       continue;
     }
--- a/src/members/member_table.hpp
+++ b/src/members/member_table.hpp
@@ -1,6 +1,6 @@
-// All members that one view knows, with their count by state, the digest over them, and the expiry of those
-// that died or left. Every change keeps the digest up to date: a walk over the whole table for each sync was
-// most of the cost of a healed partition at 2,000 members.
+// All members that one view knows, with their number in each state, their digest, and the expiry of dead and
+// left members. The digest is updated with each change: recomputing it over the whole table for each sync was
+// most of the cost of healing a partition at 2,000 members.
 #pragma once
 
 #include <array>
@@ -16,7 +16,7 @@
 
 namespace tinspan::members {
 
-// A member as this view knows it. MemberTable owns all of them.
+// One view's entry for a member. Owned by MemberTable.
 struct Member {
   std::string name;
   Address address;
@@ -28,24 +28,24 @@
   std::vector<std::uint64_t> failing_servers;
   std::vector<LeaseClaim> lease_claims;
 
-  std::set<std::string> suspectors;  // suspect: those known to suspect it
-  std::string latest_suspector;      // of these, the last one heard of: named in updates
+  std::set<std::string> suspectors;  // suspect: the members known to suspect it
+  std::string latest_suspector;      // the suspector added last, named in updates
   Micros suspicion_deadline{0};      // suspect: when it is declared dead
 
-  std::uint64_t name_hash = 0;     // chooses its bucket in the digest
-  std::uint64_t digest_entry = 0;  // its part of the digest by now; 0: none yet
+  std::uint64_t name_hash = 0;     // selects its bucket in the digest
+  std::uint64_t digest_entry = 0;  // its current contribution to the digest; 0: not in the digest yet
 };
 
-// What a message says of `member`.
+// The update that describes `member` in a message.
 MemberUpdate ToUpdate(const Member& member, Micros now);
 
 class MemberTable {
  public:
-  // A table that holds its own member alone, alive. Of `self` counts the name, address, zone and incarnation.
-  // Departed members are erased `dead_retention` after their end.
+  // Creates a table that contains only this member, alive. Uses only the name, address, zone and incarnation
+  // of `self`. Departed members are erased `dead_retention` after their death or leave.
   MemberTable(const MemberUpdate& self, Micros dead_retention, Micros now);
   ~MemberTable() = default;
-  MemberTable(const MemberTable&) = delete;  // the buckets point into the members
+  MemberTable(const MemberTable&) = delete;  // the buckets contain pointers to the members
   MemberTable& operator=(const MemberTable&) = delete;
   MemberTable(MemberTable&&) = delete;
   MemberTable& operator=(MemberTable&&) = delete;
@@ -64,19 +64,20 @@
   // Alive and suspect members, this one included.
   std::size_t LiveCount() const { return Count(State::kAlive) + Count(State::kSuspect); }
 
-  // Adds the update's member as alive at its incarnation. It enters the digest with UpdateDigest.
+  // Adds the update's member as alive at the update's incarnation. UpdateDigest adds it to the digest.
   Member& Insert(Micros now, const MemberUpdate& update);
-  // Sets state and incarnation; where the state changes, it counts since `age` before now.
+  // Sets the state and the incarnation. Where the state changes, `state_since` becomes `now` - `age`.
   void SetState(Micros now, Member& member, State state, std::uint64_t incarnation, Micros age);
 
   const Digest& CurrentDigest() const { return digest_; }
-  // To be called after each change of a member.
+  // Must be called after each change of a member.
   void UpdateDigest(Member& member);
+  // The members in one bucket of the digest.
   const std::vector<const Member*>& Bucket(std::size_t index) const { return buckets_[index]; }
 
   // Erases members that departed at least `dead_retention` ago; returns their names.
   std::vector<std::string> EraseExpired(Micros now);
-  // No later than the next expiry; Micros::max() where none is due.
+  // A time no later than the next expiry; Micros::max() where there is none.
   Micros NextExpiry() const { return next_expiry_; }
 
  private:
@@ -86,7 +87,7 @@
   std::array<std::size_t, kStateCount> counts_{};
   Digest digest_{};
   std::array<std::vector<const Member*>, kDigestBuckets> buckets_;
-  std::set<std::string> departed_;  // to be erased
+  std::set<std::string> departed_;  // dead and left members, to be erased
   Micros next_expiry_ = Micros::max();
 };
 
--- a/src/members/membership_view.cpp
+++ b/src/members/membership_view.cpp
@@ -17,11 +17,11 @@
 namespace tinspan::members {
 namespace {
 
-// Probe intervals without a tick after which this process must have been stopped or starved.
+// After this many probe intervals without a tick, this process must have been stopped or got no CPU time.
 constexpr int kPauseIntervals = 3;
-// What a pause adds to the local health multiplier.
+// Added to the local health multiplier after a pause.
 constexpr int kPauseHealthPenalty = 2;
-// Members that are told when this one leaves.
+// Number of members that are notified when this one leaves.
 constexpr std::size_t kLeaveNotifications = 4;
 
 void CopyReport(Member& member, const MemberUpdate& update) {
@@ -30,7 +30,7 @@
   member.lease_claims = update.lease_claims;
 }
 
-// One handler for each kind of message, chosen by overload.
+// Combines one lambda per kind of message into an overload set for std::visit.
 template <class... Handlers>
 struct Overloaded : Handlers... {
   using Handlers::operator()...;
@@ -87,7 +87,7 @@
   anti_entropy_.Tick(now);
 }
 
-void MembershipView::Seed(Micros now, const MemberUpdate& update) {
+void MembershipView::AddKnownMember(Micros now, const MemberUpdate& update) {
   const bool is_known = table_.Find(update.name) != nullptr;
   Merge(now, update);
   if (is_known) return;
@@ -149,14 +149,15 @@
   if (Precedence(update.state) == Precedence(member->state)) MergeSameState(*member, update);
 }
 
-// What others say of this member at an incarnation as new as its own is refuted by a higher one: so a member
-// that was paused or cut off returns, and a process before a restart under this name is overridden.
+// Refutes, with a higher incarnation, an update that declares this member suspect, dead or left at its own
+// incarnation or above, and any update of a higher incarnation. Thus a member that was paused or disconnected
+// returns, and updates about a previous process of this name are overridden.
 void MembershipView::MergeSelf(const MemberUpdate& update) {
   if (is_leaving_) return;
   Member& self = table_.Self();
-  const bool is_against = update.state != State::kAlive && update.incarnation >= self.incarnation;
+  const bool is_contradiction = update.state != State::kAlive && update.incarnation >= self.incarnation;
   const bool is_newer = update.state == State::kAlive && update.incarnation > self.incarnation;
-  if (!is_against && !is_newer) return;
+  if (!is_contradiction && !is_newer) return;
   self.incarnation = update.incarnation + 1;
   Publish(self);
   ++stats_.refutations;
@@ -166,7 +167,7 @@
 
 void MembershipView::MergeNewMember(Micros now, const MemberUpdate& update) {
   const bool is_departed = IsDeparted(update.state);
-  if (is_departed && update.age >= options_.dead_retention) return;  // erased everywhere by now
+  if (is_departed && update.age >= options_.dead_retention) return;  // already expired in every view
   if (table_.Members().size() >= kMaxMembers) return;
   Member& member = table_.Insert(now, update);
   if (is_departed) {
@@ -183,11 +184,11 @@
   ++stats_.updates_merged;
 }
 
-// An update of the incarnation and state already known: a further suspector, or a newer report.
+// Merges an update whose incarnation and state are already known: it may add a suspector or a newer report.
 void MembershipView::MergeSameState(Member& member, const MemberUpdate& update) {
   const std::string& suspector = update.suspected_by;
-  const bool names_other = !suspector.empty() && !table_.IsSelf(suspector);
-  const bool can_confirm = update.state == State::kSuspect && names_other;
+  const bool has_other_suspector = !suspector.empty() && !table_.IsSelf(suspector);
+  const bool can_confirm = update.state == State::kSuspect && has_other_suspector;
   bool is_changed = false;
   if (can_confirm && member.suspectors.size() < kMaxSuspectors) {
     is_changed = suspicions_.Confirm(member, suspector);
@@ -201,19 +202,20 @@
   ++stats_.updates_merged;
 }
 
-// An update of a higher incarnation, or of a state that takes precedence at the same one.
+// Merges an update of a higher incarnation, or of a state with a higher precedence at the same incarnation.
 void MembershipView::MergeNewerState(Micros now, Member& member, const MemberUpdate& update) {
   const bool is_newer = update.incarnation > member.incarnation;
   if (is_newer) {
     member.address = update.address;
     member.zone = update.zone;
   }
-  // A new incarnation counts its reports from 0, so its report replaces that of the one before.
+  // Report versions start at 0 in each incarnation, so the report of a new incarnation always replaces the
+  // old.
   if (is_newer || update.report_version > member.report_version) CopyReport(member, update);
   const Micros age = IsDeparted(update.state) ? update.age : Micros{0};
   SetState(now, member, update.state, update.incarnation, age);
   if (update.state == State::kSuspect) {
-    member.state_since = now;  // also where it was suspected at its last incarnation
+    member.state_since = now;  // also for a member that was already suspect at its previous incarnation
     suspicions_.Start(member, update.suspected_by);
   }
   Publish(member);
@@ -251,12 +253,12 @@
   Publish(self);
 }
 
-// After a pause, what ran out meanwhile says more of this process than of the other members.
+// A timeout that passed during a pause of this process does not indicate a failure of another member.
 void MembershipView::RecoverFromPause(Micros now) {
   ++stats_.pauses;
   health_.Adjust(kPauseHealthPenalty);
   suspicions_.RestartAll(now);
-  detector_.Abandon(now);
+  detector_.CancelProbeAndRelays(now);
 }
 
 void MembershipView::DeclareExpiredDead(Micros now) {
--- a/src/members/membership_view.hpp
+++ b/src/members/membership_view.hpp
@@ -1,13 +1,16 @@
 // One member's view of the fleet, without I/O: SWIM's failure detector, suspicion and dissemination,
-// Lifeguard's local health, and anti-entropy by digest. The caller passes the time and the random seed in;
-// messages arrive through Receive and leave through DrainMessages. The design, its limits and the
-// alternatives: docs/design/members.md.
+// Lifeguard's local health, and anti-entropy by digest. The caller provides the time and the random seed,
+// passes received messages to Receive and sends the messages that DrainMessages returns. Not thread-safe. The
+// design, its limits and the alternatives: docs/design/members.md.
 //
-// Faults it withstands: a member that is slow or was paused suspects nobody for it (local health, detection
-// of pauses); a member suspected wrongly returns (refutation with a higher incarnation); the halves of a
-// healed partition find each other (syncs with departed members and with seeds); the bytes of a message do
-// not grow with the fleet (a digest of fixed size, updates sent a bounded number of times); and a process
-// started again under its old name is newer than the one before (incarnations).
+// Faults that it tolerates:
+// - A member that is slow or was paused does not suspect others because of it (local health, detection of
+//   pauses).
+// - A member that was wrongly suspected or declared dead returns (refutation with a higher incarnation).
+// - Both sides of a healed partition merge again (syncs with departed members and with seeds).
+// - The size of a message does not grow with the fleet (a digest of fixed size, updates that are sent a
+//   bounded number of times).
+// - A process that is restarted under the same name overrides the previous process (incarnations).
 #pragma once
 
 #include <cstddef>
@@ -33,36 +36,41 @@
 
 class MembershipView {
  public:
-  // A view that knows this member alone. Of `self` counts the name, address, zone and first incarnation.
+  // Creates a view that knows only this member. Uses only the name, address, zone and first incarnation of
+  // `self`. `seed` initializes the random number generator.
   MembershipView(Options options, const MemberUpdate& self, std::uint64_t seed, Micros now);
   ~MembershipView() = default;
-  MembershipView(const MembershipView&) = delete;  // its parts refer to each other
+  MembershipView(const MembershipView&) = delete;  // the parts hold references to each other
   MembershipView& operator=(const MembershipView&) = delete;
   MembershipView(MembershipView&&) = delete;
   MembershipView& operator=(MembershipView&&) = delete;
 
-  // Merges the message's updates and answers it.
+  // Merges the message's updates and queues the response, if there is one.
   void Receive(Micros now, const Message& message);
-  // Does all that is due; to be called at NextDeadline, and harmless before.
+  // Performs all work that is due. To be called at NextDeadline; an earlier call is harmless.
   void Tick(Micros now);
-  // Takes a member as known without spreading it: for simulations that start from a view already agreed on.
-  void Seed(Micros now, const MemberUpdate& update);
+  // Adds a member without disseminating it or reporting a change. For simulations of a fleet whose views
+  // already agree at the start.
+  void AddKnownMember(Micros now, const MemberUpdate& update);
 
-  // Sets the servers this member sees fail now, kMaxFailingServers at most; a change is spread.
+  // Sets the servers that this member currently reports as failing; those beyond kMaxFailingServers are
+  // dropped. A change is disseminated.
   void SetFailingServers(std::vector<std::uint64_t> servers);
-  // Sets the leases this member holds now, kMaxLeaseClaims at most; a change is spread.
+  // Sets the leases that this member currently holds; those beyond kMaxLeaseClaims are dropped. A change is
+  // disseminated.
   void SetLeaseClaims(std::vector<LeaseClaim> claims);
-  // Tells some members that this one leaves. The view goes on answering, but probes and syncs no more.
+  // Notifies a few members that this one leaves. The view still responds to messages, but starts no more
+  // probes and syncs.
   void Leave(Micros now);
 
-  // Takes the messages to be sent, in order.
+  // Removes and returns the messages to send, in order.
   std::vector<Datagram> DrainMessages() { return outbox_.Drain(); }
-  // Takes the changes of state since the last call, in order.
+  // Removes and returns the state changes since the last call, in order.
   std::vector<StateChange> DrainChanges() { return std::exchange(changes_, {}); }
-  // When Tick has work next; Micros::max() where it has none.
+  // When Tick has work next; Micros::max() where there is none.
   Micros NextDeadline() const;
 
-  // All members known, this one and departed ones included, by name.
+  // All known members by name, including this one and departed ones.
   const std::map<std::string, Member>& Members() const { return table_.Members(); }
   const Member& Self() const { return std::as_const(table_).Self(); }
   std::size_t Count(State state) const { return table_.Count(state); }
@@ -70,7 +78,7 @@
   int LocalHealthMultiplier() const { return health_.Multiplier(); }
   const MembershipStats& Stats() const { return stats_; }
   const Digest& CurrentDigest() const { return table_.CurrentDigest(); }
-  // How long a suspicion lasts after so many confirmations.
+  // The suspicion timeout after that many confirmations.
   Micros SuspicionTimeout(std::size_t confirmations) const { return suspicions_.Timeout(confirmations); }
 
  private:
@@ -81,11 +89,13 @@
   void MergeNewerState(Micros now, Member& member, const MemberUpdate& update);
 
   void Suspect(Micros now, Member& member, const std::string& suspector);
-  // Sets the state, logs the change and ends a suspicion that no longer stands.
+  // Sets the state, records the change and ends the suspicion of a member that is no longer suspect.
   void SetState(Micros now, Member& member, State state, std::uint64_t incarnation, Micros age = Micros{0});
-  // Spreads a member's new state, and brings the digest up to date.
+  // Queues a changed member for dissemination and updates the digest.
   void Publish(Member& member);
+  // Raises the version of this member's report and publishes it.
   void PublishOwnReport();
+  // Restarts all suspicions, drops the pending probe and the relays, and raises the local health multiplier.
   void RecoverFromPause(Micros now);
   void DeclareExpiredDead(Micros now);
 
--- a/src/members/message.hpp
+++ b/src/members/message.hpp
@@ -1,6 +1,6 @@
-// The messages of the membership protocol, one type a kind. SWIM's failure detector uses Ping, PingRequest
-// and Ack; Nack is Lifeguard's; the three sync messages are anti-entropy; Payload carries another module's
-// bytes.
+// The messages of the membership protocol, one type for each kind. SWIM's failure detector uses Ping,
+// PingRequest and Ack; Nack is an extension of Lifeguard; the three sync messages implement anti-entropy;
+// Payload contains another module's message.
 #pragma once
 
 #include <array>
@@ -16,8 +16,8 @@
 namespace tinspan::members {
 
 constexpr std::size_t kDigestBuckets = 64;
-// A summary of a whole view: members fall into buckets by their name's hash, and each bucket is the xor of
-// its members' hashes.
+// A summary of a whole view: the hash of a member's name selects its bucket, and the value of a bucket is the
+// XOR of its members' digest entries.
 using Digest = std::array<std::uint64_t, kDigestBuckets>;
 
 // Asks `target` for an Ack with the same sequence number.
@@ -26,45 +26,45 @@
   std::string target;
 };
 
-// Asks the receiver to ping `target` and to pass its Ack on.
+// Asks the receiver to ping `target` and to forward its Ack.
 struct PingRequest {
   std::uint64_t sequence = 0;
   std::string target;
   Address target_address;
 };
 
-// The answer to a Ping, or to a PingRequest whose target answered.
+// The response to a Ping, or to a PingRequest whose target responded.
 struct Ack {
   std::uint64_t sequence = 0;
 };
 
-// The answer to a PingRequest whose target did not answer in time.
+// The response to a PingRequest whose target did not respond in time.
 struct Nack {
   std::uint64_t sequence = 0;
 };
 
-// Starts an anti-entropy exchange. Without a digest it is ignored.
+// Starts an anti-entropy exchange. A Sync without a digest is ignored.
 struct Sync {
   std::optional<Digest> digest;
 };
 
-// Answers a Sync; the message's updates are the sender's entries of the buckets that differ.
+// The response to a Sync; the message's updates are the sender's entries in the buckets that differ.
 struct SyncReply {
   std::optional<Digest> digest;
-  bool is_truncated = false;  // not all entries that differ fitted the datagram
+  bool is_truncated = false;  // not all entries of the buckets that differ fit in the datagram
 };
 
-// Answers a SyncReply; the message's updates are the sender's entries of the buckets that differ.
+// The response to a SyncReply; the message's updates are the sender's entries in the buckets that differ.
 struct SyncPush {};
 
-// Another module's message (src/lease). The view ignores it; whoever runs the view passes it on.
+// Another module's message (src/lease). MembershipView ignores it; Node passes it to the payload handler.
 struct Payload {
   std::string bytes;
 };
 
 using MessageBody = std::variant<Ping, PingRequest, Ack, Nack, Sync, SyncReply, SyncPush, Payload>;
 
-// A message as one member sends it to another. Updates are merged whatever the body is.
+// A message from one member to another. The receiver's view merges the updates of every kind of body.
 struct Message {
   std::string from;  // the sender's name
   Address from_address;
--- a/src/members/node.cpp
+++ b/src/members/node.cpp
@@ -34,23 +34,24 @@
 namespace {
 
 constexpr std::size_t kReceiveBufferBytes = 65'536;
-// The log names the first datagram rejected for a reason, and then each one of so many.
+// The log reports the first datagram rejected for a reason, and then one in every kRejectionLogPeriod.
 constexpr std::uint64_t kRejectionLogPeriod = 1'000;
-// Added to the wait for the next tick, so that the timer does not fire before the view's deadline.
+// Added to the delay of the next tick, so that the timer does not fire before the view's deadline.
 constexpr Micros kTimerSlack{500};
 constexpr std::int64_t kMicrosPerMilli = 1'000;
 
 net::Endpoint ToEndpoint(Address address) { return {address.ip, address.port}; }
 Address ToAddress(net::Endpoint endpoint) { return {endpoint.address, endpoint.port}; }
 
-// A UDP socket bound to `endpoint`, its actual address in `bound`; no socket where the address is in use.
-// Throws std::system_error for any other failure.
+// Returns a UDP socket bound to `endpoint` and sets `bound` to its actual address, or returns an empty Fd
+// where the address is in use. Throws std::system_error for any other failure.
 net::Fd Bind(const net::Endpoint& endpoint, net::Endpoint& bound) {
   net::Fd socket(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   const sockaddr_in address = endpoint.Socket();
   if (!socket || ::bind(socket.Get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) {
     if (errno == EADDRINUSE) return {};
-    throw std::system_error(errno, std::generic_category(), "members: binding " + endpoint.Text());
+    throw std::system_error(errno, std::generic_category(),
+                            "members: cannot bind a UDP socket to " + endpoint.Text());
   }
   sockaddr_in actual{};
   socklen_t size = sizeof actual;
@@ -69,20 +70,20 @@
   const char* const state = Name(change.current);
   if (change.is_refutation) {
     log::Info("members.refuted", {{"member", change.name}, {"incarnation", change.incarnation}},
-              "members: said to be suspect or dead, refuted with incarnation {}", change.incarnation);
+              "members: refuted an update about this member, with incarnation {}", change.incarnation);
     return;
   }
   if (!change.previous) {
     log::Info("members.joined",
               {{"member", change.name}, {"state", state}, {"incarnation", change.incarnation}},
-              "members: {} is new, {}", change.name, state);
+              "members: {} joined the view, state {}", change.name, state);
     return;
   }
   const char* const previous = Name(*change.previous);
   log::Info(
       "members.changed",
       {{"member", change.name}, {"was", previous}, {"state", state}, {"incarnation", change.incarnation}},
-      "members: {} {} -> {} (incarnation {})", change.name, previous, state, change.incarnation);
+      "members: {} changed from {} to {} (incarnation {})", change.name, previous, state, change.incarnation);
 }
 
 std::string FormatMember(const Member& member, Micros now) {
@@ -115,7 +116,7 @@
     return;
   }
   log::Info("members.waiting", {{"address", options_.listen.Text()}},
-            "members: {} is in use (by the process before this one?), waiting for it",
+            "members: {} is in use, possibly by the previous process; retrying until it is free",
             options_.listen.Text());
   WaitForPort();
 }
@@ -130,7 +131,7 @@
   int received = 0;
   while (received < kMaxDatagramsPerRound && ReceiveDatagram(now)) ++received;
   if (received == kMaxDatagramsPerRound)
-    loop_.ScheduleAgain(handle_);  // the rest in the next round of the loop
+    loop_.ScheduleAgain(handle_);  // receives the rest in the next round of the loop
   ProcessOutput();
   ScheduleTick();
 }
@@ -183,8 +184,8 @@
   self.name = options_.name;
   self.address = ToAddress(advertised_);
   self.zone = options_.zone;
-  // Higher than that of any process before this one under the same name; where the clock was set back,
-  // refutation makes up for it.
+  // Higher than the incarnation of any previous process of the same name. Where the clock was set back, a
+  // refutation raises it.
   self.incarnation = WallClockMillis();
   return std::make_unique<MembershipView>(std::move(view_options), self, options_.random_seed, SteadyNow());
 }
@@ -213,13 +214,14 @@
     WaitForPort();
     return;
   }
-  view_ = MakeView();  // an incarnation newer than the last process's, and no pause to be detected
+  // A new view has a higher incarnation than the previous process, and does not detect the wait as a pause.
+  view_ = MakeView();
   Start();
 }
 
 bool Node::ReceiveDatagram(Micros now) {
   std::array<char, kReceiveBufferBytes> buffer;  // left uninitialized
-  // MSG_TRUNC returns the full size of a datagram that did not fit.
+  // With MSG_TRUNC, recv returns the full size of a datagram that did not fit the buffer.
   ssize_t size = -1;
   do {
     size = ::recv(fd_.Get(), buffer.data(), buffer.size(), MSG_TRUNC);
@@ -254,7 +256,7 @@
   if (count != 1 && count % kRejectionLogPeriod != 0) return;
   const char* const reason = Name(error.failure);
   log::Warn("members.datagram_refused", {{"reason", reason}, {"count", count}},
-            "members: a datagram rejected ({}: {}), {} so far", reason, error.detail, count);
+            "members: datagram rejected ({}: {}), {} for this reason so far", reason, error.detail, count);
 }
 
 void Node::TickView() {
@@ -274,7 +276,7 @@
   const ssize_t sent = ::sendto(fd_.Get(), bytes.data(), bytes.size(), MSG_DONTWAIT,
                                 reinterpret_cast<const sockaddr*>(&destination), sizeof destination);
   if (sent < 0) {
-    ++stats_.send_errors;  // a full buffer or an unreachable port: as a datagram lost on the way
+    ++stats_.send_errors;  // full buffer or unreachable port: the protocol handles it as packet loss
     return;
   }
   ++stats_.datagrams_out;
@@ -283,7 +285,7 @@
 
 void Node::ScheduleTick() {
   if (timer_) loop_.Timers().Cancel(*timer_);
-  // Clamped, since a view with no work left returns the end of time, to which nothing can be added.
+  // Clamped, since a view without work returns Micros::max(), and adding to that would overflow.
   const Micros wait = std::clamp(view_->NextDeadline() - SteadyNow(), Micros{0}, kMaxTickInterval);
   timer_ = loop_.Timers().Set(net::Now() + wait + kTimerSlack, [this](Micros) {
     timer_.reset();
--- a/src/members/node.hpp
+++ b/src/members/node.hpp
@@ -1,12 +1,15 @@
-// A membership view on the network: one UDP socket in the program's event loop, the view's timer, its
-// counters and its log lines. What is decided comes from MembershipView; this part carries datagrams.
+// Runs a MembershipView on the network: one UDP socket in the program's event loop, the view's timer, its
+// counters and its log lines. MembershipView implements the protocol; this class sends and receives
+// datagrams. All calls must be made on the event loop's thread.
 //
-// Faults it withstands: datagrams that are malformed, foreign, of another version or too large (counted by
-// reason and dropped; the log names the first of each reason and then every 1000th, never their bytes); a
-// flood (at most kMaxDatagramsPerRound datagrams a round of the loop); a socket whose buffer is full (the
-// datagram is dropped and counted, as one lost on the way); a wall clock that jumps (the view runs on a
-// steady clock); and an upgrade: while the process before this one holds the port, the node retries each
-// kBindRetryInterval, so that the new process serves meanwhile.
+// Faults that it tolerates:
+// - Datagrams that are malformed, foreign, of another version or too large: they are counted by reason and
+//   dropped. The log reports the first one of each reason and then every 1000th, never their bytes.
+// - A flood of datagrams: at most kMaxDatagramsPerRound are received per round of the event loop.
+// - A full send buffer: the datagram is dropped and counted, which the protocol handles as packet loss.
+// - A wall clock that jumps: the view uses a steady clock.
+// - An upgrade: while the previous process holds the port, the node retries to bind it every
+//   kBindRetryInterval, and the new process already serves requests.
 #pragma once
 
 #include <array>
@@ -35,34 +38,35 @@
   std::string fleet;  // datagrams of another fleet are rejected
   std::string name;   // of this member
   std::string zone;
-  net::Endpoint listen;                    // port 0: any
-  std::optional<net::Endpoint> advertise;  // where others send; without one, the bound address
+  net::Endpoint listen;                    // port 0: any free port
+  std::optional<net::Endpoint> advertise;  // where other members send to; none: the bound address
   std::vector<net::Endpoint> seeds;
-  Options view;  // its seeds are added to the ones above
+  Options view;  // its seeds are used in addition to `seeds`
   std::size_t max_datagram_bytes = kMaxDatagramBytes;
   std::uint64_t random_seed = 0;
 };
 
-// Counters of the socket since the start.
+// Counters of the socket since the node was created.
 struct DatagramStats {
   std::uint64_t datagrams_in = 0;
   std::uint64_t datagrams_out = 0;
   std::uint64_t bytes_in = 0;
   std::uint64_t bytes_out = 0;
   std::uint64_t send_errors = 0;
-  std::array<std::uint64_t, kDecodeFailureCount> rejected{};  // by DecodeFailure
+  std::array<std::uint64_t, kDecodeFailureCount> rejected{};  // indexed by DecodeFailure
 };
 
 class Node final : public net::EventLoop::Sink {
  public:
+  // Maximum number of datagrams received per round of the event loop.
   static constexpr int kMaxDatagramsPerRound = 256;
   static constexpr Micros kBindRetryInterval{250'000};
   static constexpr Micros kMaxTickInterval{60'000'000};
-  // Gets each payload that arrives, with the name its sender gives itself.
+  // Called for each received payload, with the sender's name as stated in the datagram.
   using PayloadHandler = std::function<void(const std::string& sender, const std::string& payload)>;
 
-  // Binds and starts, or waits for an address that is in use. `loop` outlives the node.
-  // Throws std::system_error where the address cannot be had for another reason.
+  // Binds the socket and starts the view. Where the address is in use, retries until it is free.
+  // Throws std::system_error where binding fails for another reason. `loop` must outlive the node.
   Node(net::EventLoop& loop, NodeOptions options);
   ~Node();
   Node(const Node&) = delete;
@@ -72,26 +76,26 @@
 
   void OnReady(std::uint32_t events) override;
 
-  // Whether this process has the port. Until then another process of this name (the one that is being
-  // upgraded) speaks for it.
+  // Whether this process has bound the port. Until then the previous process of the same name, which is being
+  // replaced by an upgrade, represents the member.
   bool IsStarted() const { return static_cast<bool>(fd_); }
-  // Tells other members that this one leaves.
+  // Notifies other members that this one leaves. Does nothing while the node is not started.
   void Leave();
 
-  // Sets the servers this member sees fail now; a change is spread.
+  // Sets the servers that this member currently reports as failing; a change is disseminated.
   void SetFailingServers(std::vector<std::uint64_t> servers);
-  // Sets the leases this member holds now; a change is spread.
+  // Sets the leases that this member currently holds; a change is disseminated.
   void SetLeaseClaims(std::vector<LeaseClaim> claims);
 
-  // Sends another module's message to a member, in a datagram of its own. False: no member of that name is
-  // known, the payload is longer than kMaxPayloadBytes, or this process does not have the port yet.
+  // Sends another module's message to a member, in a separate datagram. Returns false where no member of that
+  // name is known, the payload is longer than kMaxPayloadBytes, or the node is not started yet.
   bool SendPayload(const std::string& member, std::string payload);
   void SetPayloadHandler(PayloadHandler handler) { payload_handler_ = std::move(handler); }
 
-  // Replaced by a new view when the port is first had; not to be kept.
+  // The node replaces the view when it binds the port after a wait, so callers must not keep the reference.
   const MembershipView& View() const { return *view_; }
   const DatagramStats& Stats() const { return stats_; }
-  // One line a member: name address zone incarnation state age_ms failing=a,b; this one's first.
+  // One line per member, this one first: name address zone incarnation state age_ms failing=a,b
   std::string FormatMembers() const;
 
  private:
@@ -101,7 +105,7 @@
   void Start();
   void WaitForPort();
   void RetryBind();
-  // False: the socket has no more datagrams.
+  // Receives one datagram. Returns false where the socket has no more of them.
   bool ReceiveDatagram(Micros now);
   void ProcessDatagram(Micros now, std::string_view bytes, std::size_t full_size);
   void CountRejected(const DecodeError& error);
@@ -112,7 +116,7 @@
 
   net::EventLoop& loop_;
   NodeOptions options_;
-  net::Endpoint bound_;  // before fd_: binding fills it
+  net::Endpoint bound_;  // declared before fd_, whose initializer sets it
   net::Fd fd_;
   net::EventLoop::Handle handle_ = 0;
   net::Endpoint advertised_;
--- a/src/members/outbox.hpp
+++ b/src/members/outbox.hpp
@@ -1,4 +1,4 @@
-// The messages that one view has yet to send, stamped with its name and address.
+// The queue of messages to send of one view. It sets each message's sender name and address.
 #pragma once
 
 #include <utility>
@@ -13,11 +13,11 @@
 
 class Outbox {
  public:
-  // Both outlive this object.
+  // Both arguments must outlive this object.
   Outbox(const MemberTable& table, DisseminationQueue& dissemination)
       : table_(table), dissemination_(dissemination) {}
 
-  // Queues a message that carries just the given updates.
+  // Queues a message with the given updates only.
   void Send(Address destination, MessageBody body, std::vector<MemberUpdate> updates = {}) {
     Message message;
     message.from = table_.SelfName();
@@ -26,11 +26,11 @@
     message.body = std::move(body);
     datagrams_.push_back({.destination = destination, .message = std::move(message)});
   }
-  // Queues a message with updates piggybacked from the dissemination queue.
+  // Queues a message with piggybacked updates from the dissemination queue.
   void SendWithGossip(Micros now, Address destination, MessageBody body) {
     Send(destination, std::move(body), dissemination_.NextUpdates(now));
   }
-  // Takes all queued messages, in the order they were sent.
+  // Removes and returns all queued messages, in the order in which they were queued.
   std::vector<Datagram> Drain() { return std::exchange(datagrams_, {}); }
 
  private:
--- a/src/members/sim.cpp
+++ b/src/members/sim.cpp
@@ -22,11 +22,12 @@
 
 constexpr std::uint32_t kLoopback = 0x7f000001;
 constexpr int kFirstPort = 10'000;
+// Estimated encoded sizes.
 constexpr std::size_t kEnvelopeBytes = 40;
 constexpr std::size_t kDigestBucketBytes = 9;
 constexpr std::int64_t kMicrosPerMilli = 1'000;
 
-// Bytes of the fields that only some kinds of message have.
+// Estimates the size of the fields that depend on the kind of message.
 struct BodySizer {
   std::size_t operator()(const Ping& ping) const { return ping.target.size(); }
   std::size_t operator()(const PingRequest& request) const { return request.target.size(); }
@@ -43,17 +44,17 @@
   }
 };
 
-bool IsLive(const MembershipView& view, const std::string& name) {
+bool IsLiveInView(const MembershipView& view, const std::string& name) {
   const auto found = view.Members().find(name);
   return found != view.Members().end() && !IsDeparted(found->second.state);
 }
 
-bool IsAlive(const MembershipView& view, const std::string& name) {
+bool IsAliveInView(const MembershipView& view, const std::string& name) {
   const auto found = view.Members().find(name);
   return found != view.Members().end() && found->second.state == State::kAlive;
 }
 
-bool IsHeldDeparted(const MembershipView& view, const std::string& name) {
+bool IsDepartedInView(const MembershipView& view, const std::string& name) {
   const auto found = view.Members().find(name);
   return found != view.Members().end() && IsDeparted(found->second.state);
 }
@@ -79,15 +80,15 @@
   return member;
 }
 
-int Fleet::Add(const std::string& zone, const std::vector<int>& seeds, bool is_introduced) {
+int Fleet::Add(const std::string& zone, const std::vector<int>& seeds, bool has_full_view) {
   const int member = static_cast<int>(nodes_.size());
   Node& node = nodes_.emplace_back();
   node.name = "m" + std::to_string(member) + (zone.empty() ? "" : "." + zone);
-  Start(member, seeds, is_introduced);
+  Start(member, seeds, has_full_view);
   return member;
 }
 
-void Fleet::Start(int member, const std::vector<int>& seeds, bool is_introduced) {
+void Fleet::Start(int member, const std::vector<int>& seeds, bool has_full_view) {
   Options options = options_;
   options.seeds.clear();
   for (const int seed : seeds) {
@@ -102,12 +103,11 @@
   node.is_running = true;
   node.paused_until = Micros{0};
   node.socket_backlog.clear();
-  if (is_introduced) Introduce(member, self);
+  if (has_full_view) AddToRunningViews(member, self);
   ScheduleTick(member);
 }
 
-// Makes the member and every other running one known to each other.
-void Fleet::Introduce(int member, const MemberUpdate& self) {
+void Fleet::AddToRunningViews(int member, const MemberUpdate& self) {
   for (int other = 0; other < static_cast<int>(nodes_.size()); ++other) {
     Node& other_node = NodeOf(other);
     if (other == member || !other_node.is_running || !other_node.view) continue;
@@ -116,8 +116,8 @@
     update.name = known.name;
     update.address = known.address;
     update.incarnation = known.incarnation;
-    NodeOf(member).view->Seed(now_, update);
-    other_node.view->Seed(now_, self);
+    NodeOf(member).view->AddKnownMember(now_, update);
+    other_node.view->AddKnownMember(now_, self);
   }
 }
 
@@ -205,7 +205,7 @@
     ScheduleTick(tick.member);
     return;
   }
-  // As the program does after a stop: what waited in the socket first, then the tick.
+  // As the program does after a pause: it processes the datagrams in the socket first, then the tick.
   for (const Message& message : std::exchange(node.socket_backlog, {})) node.view->Receive(now_, message);
   node.view->Tick(now_);
   ProcessOutput(tick.member);
@@ -243,8 +243,8 @@
   for (const Node& observer : nodes_) {
     if (!observer.is_running || observer.paused_until > now_) continue;
     for (const Node& subject : nodes_) {
-      const bool is_correct =
-          subject.is_running ? IsAlive(*observer.view, subject.name) : !IsLive(*observer.view, subject.name);
+      const bool is_correct = subject.is_running ? IsAliveInView(*observer.view, subject.name)
+                                                 : !IsLiveInView(*observer.view, subject.name);
       if (!is_correct) return false;
     }
   }
@@ -255,7 +255,7 @@
   const auto is_wrongly_dead = [this](const Node& subject) {
     return subject.is_running && std::ranges::any_of(nodes_, [&subject](const Node& observer) {
              return &observer != &subject && observer.is_running &&
-                    IsHeldDeparted(*observer.view, subject.name);
+                    IsDepartedInView(*observer.view, subject.name);
            });
   };
   return static_cast<std::size_t>(std::ranges::count_if(nodes_, is_wrongly_dead));
--- a/src/members/suspicion.hpp
+++ b/src/members/suspicion.hpp
@@ -1,6 +1,6 @@
-// The suspicions of one view: who is suspected, by whom, and when each suspected member is declared dead.
-// SWIM's suspicion subprotocol (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style
-// Process Group Membership Protocol", section 4.2) with Lifeguard's dynamic time-out ("Lifeguard: Local
+// The suspicions of one view: the suspected members, their suspectors, and when each of them is declared
+// dead. SWIM's suspicion subprotocol (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style
+// Process Group Membership Protocol", section 4.2) with Lifeguard's dynamic timeout ("Lifeguard: Local
 // Health Awareness for More Accurate Failure Detection", section III.B).
 #pragma once
 
@@ -19,24 +19,25 @@
 
 class SuspicionTracker {
  public:
-  // Both outlive this object.
+  // Both arguments must outlive this object.
   SuspicionTracker(const Options& options, MemberTable& table) : options_(options), table_(table) {}
 
-  // Starts the suspicion of a member that is now in state suspect.
+  // Starts the suspicion of a member whose state has been set to suspect.
   void Start(Member& member, const std::string& suspector);
-  // Adds a suspector, which shortens the suspicion. False: it was known as one already.
+  // Adds a suspector, which shortens the timeout. Returns false where the suspector was already known.
   bool Confirm(Member& member, const std::string& suspector);
   // Ends the suspicion of a member that is no longer suspect.
   void ClearSuspicion(Member& member);
-  // Starts the time of every suspicion anew at `now`, its suspectors kept.
+  // Restarts the timeout of every suspicion at `now`. The suspectors are kept.
   void RestartAll(Micros now);
 
-  // The name of a member whose suspicion has run out by `now`, the earliest first.
+  // The member whose suspicion timed out first, at `now` or before; none where no suspicion has timed out.
   std::optional<std::string> FirstExpired(Micros now) const;
-  // When the next suspicion runs out; Micros::max() where there is none.
+  // When the next suspicion times out; Micros::max() where there is no suspicion.
   Micros NextDeadline() const;
-  // How long a suspicion lasts after so many confirmations (suspectors beyond the first): from beta times the
-  // least down to the least of alpha * log10(n) probe intervals.
+  // The suspicion timeout after that many confirmations (suspectors beyond the first). The shortest timeout
+  // is alpha * log10(n) probe intervals, with the logarithm at least 1. Without a confirmation the timeout is
+  // beta times as long; confirmations reduce it to the shortest.
   Micros Timeout(std::size_t confirmations) const;
 
  private:
--- a/src/members/types.cpp
+++ b/src/members/types.cpp
@@ -7,6 +7,7 @@
 namespace tinspan::members {
 namespace {
 
+// Estimated encoded sizes of the parts of an update.
 constexpr std::size_t kFixedUpdateBytes = 24;
 constexpr std::size_t kFailingServerBytes = 9;
 constexpr std::size_t kLeaseClaimBytes = 24;
--- a/tests/members/anti_entropy_test.cpp
+++ b/tests/members/anti_entropy_test.cpp
@@ -1,4 +1,5 @@
-// AntiEntropy: partners, replies by digest, exchanges that need several rounds; and the digests of a fleet.
+// Tests of AntiEntropy: the choice of partners, replies by digest, exchanges of several rounds, and the
+// digests of a fleet.
 #include "members/anti_entropy.hpp"
 
 #include <gtest/gtest.h>
@@ -25,12 +26,12 @@
 
 class AntiEntropyTest : public MembershipUnitTest {
  protected:
-  // The datagrams that one sync sends: at most one.
+  // Starts the next exchange; returns the datagrams sent, at most one.
   std::vector<Datagram> SyncOnce() {
     anti_entropy_.Tick(anti_entropy_.NextSyncAt());
     return outbox_.Drain();
   }
-  // The ports of the partners of so many syncs.
+  // Starts that many exchanges; returns their partners' ports.
   std::vector<std::uint16_t> PartnerPorts(std::size_t syncs) {
     std::vector<std::uint16_t> ports(syncs);
     for (std::uint16_t& port : ports) port = SyncOnce().at(0).destination.port;
@@ -48,7 +49,7 @@
   EXPECT_EQ(stats_.syncs, 0U);
 }
 
-TEST_F(AntiEntropyTest, FindsTheFleetThroughASeedAtOnce) {
+TEST_F(AntiEntropyTest, SyncsWithASeedImmediately) {
   options_.seeds = {kPartner};
   EXPECT_EQ(anti_entropy_.NextSyncAt(), kStart);
   const std::vector<Datagram> sent = SyncOnce();
@@ -117,7 +118,7 @@
   EXPECT_FALSE(anti_entropy_.HasContinuation());
 }
 
-TEST_F(AntiEntropyTest, ContinuesAtOnceAfterATruncatedReply) {
+TEST_F(AntiEntropyTest, ContinuesImmediatelyAfterATruncatedReply) {
   anti_entropy_.OnSyncReply(kStart, kPartner, {table_.CurrentDigest(), true});
   EXPECT_TRUE(anti_entropy_.HasContinuation());
   anti_entropy_.Tick(kStart);
@@ -136,16 +137,16 @@
   EXPECT_EQ(stats_.sync_rounds, 64U);
 }
 
-// Each change updates the digest: views that hold the same members have the same one, however they came to
-// it.
+// Views with the same members and states have the same digest, whatever sequence of changes led to them. A
+// missed update of the digest after a change would make the digests differ.
 class FleetDigestTest : public ConvergedFleetTest {
  protected:
   void SetUp() override {
     ConvergedFleetTest::SetUp();
     fleet_.RunFor(5s);
-    initial_ = Of(0);
+    initial_ = DigestOf(0);
   }
-  const Digest& Of(int member) const { return fleet_.ViewOf(member).CurrentDigest(); }
+  const Digest& DigestOf(int member) const { return fleet_.ViewOf(member).CurrentDigest(); }
   // Pauses member 5, whose refutation changes its incarnation, and kills member 3.
   void PauseOneAndKillOne() {
     fleet_.Pause(5, fleet_.Now() + 3s);
@@ -157,23 +158,23 @@
   Digest initial_{};
 };
 
-TEST_F(FleetDigestTest, ConvergedViewsHaveOne) {
-  for (int member = 1; member < kSize; ++member) EXPECT_EQ(Of(member), initial_);
+TEST_F(FleetDigestTest, IsTheSameInAllConvergedViews) {
+  for (int member = 1; member < kSize; ++member) EXPECT_EQ(DigestOf(member), initial_);
 }
 
-TEST_F(FleetDigestTest, ADeadAndARefutingMemberChangeItEverywhere) {
+TEST_F(FleetDigestTest, ChangesInAllViewsAfterADeathAndARefutation) {
   PauseOneAndKillOne();
-  EXPECT_NE(Of(0), initial_);
-  for (const int member : kSurvivors) EXPECT_EQ(Of(member), Of(0));
+  EXPECT_NE(DigestOf(0), initial_);
+  for (const int member : kSurvivors) EXPECT_EQ(DigestOf(member), DigestOf(0));
 }
 
-TEST_F(FleetDigestTest, AnErasedMemberLeavesItEverywhere) {
+TEST_F(FleetDigestTest, ChangesInAllViewsAfterAMemberIsErased) {
   PauseOneAndKillOne();
-  const Digest with_dead = Of(0);
+  const Digest with_dead = DigestOf(0);
   fleet_.RunFor(40s);
   EXPECT_EQ(fleet_.ViewOf(0).Members().size(), 7U);
-  EXPECT_NE(Of(0), with_dead);
-  for (const int member : kSurvivors) EXPECT_EQ(Of(member), Of(0));
+  EXPECT_NE(DigestOf(0), with_dead);
+  for (const int member : kSurvivors) EXPECT_EQ(DigestOf(member), DigestOf(0));
 }
 
 }  // namespace
--- a/tests/members/codec_test.cpp
+++ b/tests/members/codec_test.cpp
@@ -1,4 +1,4 @@
-// The codec: the exact bytes of each kind of message, round trips, and the datagrams it rejects.
+// Tests of the codec: the exact bytes of each kind of message, round trips, and rejected datagrams.
 #include "members/codec.hpp"
 
 #include <gtest/gtest.h>
@@ -83,8 +83,8 @@
   return hex;
 }
 
-// Parts of the datagrams below, in hex: what all of them begin with, their sender, their two updates, and the
-// digest of 64 little-endian buckets.
+// Parts of the datagrams below, in hex: the common prefix (header and fleet name), the sender, the target,
+// the two updates, and the digest of 64 little-endian buckets.
 constexpr const char* kStartHex = "54534d010a0473686f70";
 constexpr const char* kSenderHex = "1a036e2d33250100007f288a3e";
 constexpr const char* kTargetHex = "3a036e2d34";
@@ -101,7 +101,8 @@
   std::string hex;
 };
 
-// Recorded from the program before its messages were split by type: the bytes must not change.
+// Recorded from the program before its messages became one type per kind. The bytes must not change, so that
+// members of different releases can communicate.
 std::vector<RecordedDatagram> RecordedDatagrams() {
   const std::vector<MemberUpdate> updates{DeadMember(), SuspectMember()};
   const std::string start = kStartHex;
@@ -200,7 +201,7 @@
   EXPECT_EQ(FailureOf(std::string(2'000, 'x')), DecodeFailure::kOversized);
 }
 
-TEST(CodecRejectionTest, ALaterVersionIsNamed) {
+TEST(CodecRejectionTest, ALaterVersionIsReportedAsVersion) {
   std::string bytes = Encode(ReplyWithOneUpdate(), kFleet);
   bytes[3] = 2;
   EXPECT_EQ(FailureOf(bytes), DecodeFailure::kVersion);
@@ -223,7 +224,7 @@
   EXPECT_EQ(FailureOf(Encode(message, kFleet)), DecodeFailure::kMalformed);
 }
 
-// A change that takes a valid datagram out of range.
+// A change that takes a field of a valid datagram out of range.
 struct Corruption {
   const char* name;
   std::function<void(wire::Envelope&)> apply;
@@ -253,7 +254,7 @@
         Corruption{"DigestSize", [](wire::Envelope& envelope) { envelope.add_digest(1); }},
         Corruption{"PayloadSize",
                    [](wire::Envelope& envelope) {
-                     envelope.clear_digest();  // else the datagram is oversized
+                     envelope.clear_digest();  // with the digest the datagram would be oversized
                      envelope.set_carried(std::string(1'001, 'x'));
                    }},
         Corruption{"UpdateCount",
@@ -279,7 +280,7 @@
                    }}),
     [](const auto& info) { return std::string(info.param.name); });
 
-// Neither an operators' line, nor a log line, nor a record in JSON could hold these names.
+// Names that could break an operator command, a log line or a record in JSON.
 class CodecNameTest : public testing::TestWithParam<const char*> {
  protected:
   static DecodeFailure FailureWith(const std::function<void(Message&)>& change) {
@@ -289,37 +290,38 @@
   }
 };
 
-TEST_P(CodecNameTest, OfTheSenderIsMalformed) {
+TEST_P(CodecNameTest, IsRejectedAsTheSender) {
   EXPECT_EQ(FailureWith([](Message& message) { message.from = GetParam(); }), DecodeFailure::kMalformed);
 }
-TEST_P(CodecNameTest, OfTheTargetIsMalformed) {
+TEST_P(CodecNameTest, IsRejectedAsTheTarget) {
   EXPECT_EQ(FailureWith([](Message& message) {
               message.body = Ping{1, GetParam()};
             }),
             DecodeFailure::kMalformed);
 }
-TEST_P(CodecNameTest, OfAMemberIsMalformed) {
+TEST_P(CodecNameTest, IsRejectedAsAMember) {
   EXPECT_EQ(FailureWith([](Message& message) { message.updates[0].name = GetParam(); }),
             DecodeFailure::kMalformed);
 }
-TEST_P(CodecNameTest, OfAZoneIsMalformed) {
+TEST_P(CodecNameTest, IsRejectedAsAZone) {
   EXPECT_EQ(FailureWith([](Message& message) { message.updates[0].zone = GetParam(); }),
             DecodeFailure::kMalformed);
 }
-TEST_P(CodecNameTest, OfASuspectorIsMalformed) {
+TEST_P(CodecNameTest, IsRejectedAsASuspector) {
   EXPECT_EQ(FailureWith([](Message& message) { message.updates[0].suspected_by = GetParam(); }),
             DecodeFailure::kMalformed);
 }
-TEST_P(CodecNameTest, OfALeaseIsMalformed) {
+TEST_P(CodecNameTest, IsRejectedAsALease) {
   EXPECT_EQ(FailureWith([](Message& message) { message.updates[0].lease_claims[0].lease = GetParam(); }),
             DecodeFailure::kMalformed);
 }
 
-INSTANTIATE_TEST_SUITE_P(BadNames, CodecNameTest, testing::Values("a b", "a\nend", "\xff\xfe", "h\xc3\xa6"),
+INSTANTIATE_TEST_SUITE_P(InvalidNames, CodecNameTest,
+                         testing::Values("a b", "a\nend", "\xff\xfe", "h\xc3\xa6"),
                          [](const auto& info) { return "Name" + std::to_string(info.index); });
 
-// Whatever bytes arrive, Decode returns an error or a message whose fields are in range: bytes of valid
-// datagrams changed here and there, and bytes at random.
+// For any bytes Decode returns an error or a message whose fields are in range. The inputs are valid
+// datagrams with random changes, and random bytes.
 RC_GTEST_PROP(CodecPropertyTest, AnyBytesAreDecodedOrRejected, ()) {
   std::string bytes = Encode(ReplyWithOneUpdate(), kFleet);
   const auto changes = *rc::gen::container<std::vector<std::pair<std::size_t, char>>>(
--- a/tests/members/dissemination_test.cpp
+++ b/tests/members/dissemination_test.cpp
@@ -1,4 +1,4 @@
-// DisseminationQueue: which updates ride on a message, and how often each one is sent.
+// Tests of DisseminationQueue: which updates are piggybacked on a message, and how often each one is sent.
 #include "members/dissemination.hpp"
 
 #include <gtest/gtest.h>
@@ -29,7 +29,7 @@
 
 TEST_F(DisseminationQueueTest, IsEmptyAtFirst) { EXPECT_TRUE(NextNames().empty()); }
 
-// retransmit_multiplier (4) * ceil(log10(n + 1)) times: four at two members.
+// An update is sent retransmit_multiplier (4) * ceil(log10(n + 1)) times: four times with two members.
 TEST_F(DisseminationQueueTest, SendsAnUpdateABoundedNumberOfTimes) {
   AddQueued("member");
   for (int sent = 0; sent < 4; ++sent) EXPECT_EQ(NextNames(), (std::vector<std::string>{"member"}));
@@ -45,7 +45,7 @@
   EXPECT_EQ(sent, 8U);
 }
 
-TEST_F(DisseminationQueueTest, ANewChangeIsSentAfreshAndFirst) {
+TEST_F(DisseminationQueueTest, ANewChangeIsSentFirst) {
   AddQueued("a-old");
   NextNames();
   AddQueued("b-new");
--- a/tests/members/failure_detector_test.cpp
+++ b/tests/members/failure_detector_test.cpp
@@ -1,4 +1,5 @@
-// FailureDetector: probes, indirect probes, relays for others, and what a failed probe does to local health.
+// Tests of FailureDetector: probes, indirect probes, relays for other members, and the effect of a failed
+// probe on local health.
 #include "members/failure_detector.hpp"
 
 #include <gtest/gtest.h>
@@ -25,7 +26,7 @@
 
 class FailureDetectorTest : public MembershipUnitTest {
  protected:
-  // The one datagram sent, whose body must be a `Body`.
+  // Checks that exactly one datagram was sent, to `destination` and with a `Body`; returns its body.
   template <class Body>
   Body SentTo(Address destination) {
     const std::vector<Datagram> sent = outbox_.Drain();
@@ -36,7 +37,7 @@
     EXPECT_NE(body, nullptr);
     return body == nullptr ? Body{} : *body;
   }
-  // Starts a probe at kStart plus one interval, when the first is due at the latest.
+  // Starts a probe at kProbeStart, which is one interval after kStart: the first probe is due by then.
   Ping StartProbe() {
     detector_.StartDueProbe(kProbeStart);
     return SentTo<Ping>(table_.At("target").address);
@@ -182,11 +183,11 @@
   EXPECT_EQ(detector_.NextRelayDeadline(), Micros::max());
 }
 
-TEST_F(FailureDetectorTest, AbandonsWithoutJudging) {
+TEST_F(FailureDetectorTest, CancelsTheProbeAndTheRelaysWithoutAResult) {
   AddMember("target", 1);
   StartProbe();
   detector_.OnPingRequest(kProbeStart, kSender, {7, "other", {}});
-  detector_.Abandon(kProbeStart + 60s);
+  detector_.CancelProbeAndRelays(kProbeStart + 60s);
   EXPECT_FALSE(detector_.CheckProbe(kProbeStart + 60s));
   EXPECT_EQ(detector_.NextRelayDeadline(), Micros::max());
   EXPECT_EQ(detector_.NextProbeDeadline(), kProbeStart + 60s + options_.probe_interval);
--- a/tests/members/fault_schedule_test.cpp
+++ b/tests/members/fault_schedule_test.cpp
@@ -1,4 +1,5 @@
-// MembershipView under random schedules of faults: whatever happened, the views converge once it is over.
+// Property test of MembershipView under random schedules of faults: the views converge once the faults have
+// ended.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
@@ -20,25 +21,26 @@
 enum class FaultKind : std::uint8_t { kKill, kRestart, kPause, kPartition, kOneWayLink, kLoss, kLeave };
 constexpr int kFaultKinds = 7;
 
-// One fault of a schedule.
+// One fault in a schedule.
 struct Fault {
   FaultKind kind = FaultKind::kKill;
   int member = 0;
-  int other = 0;           // one-way link: where it leads
-  std::uint32_t side = 0;  // partition: the members whose bit is set
-  int millis = 0;          // pause: its length; all kinds: twice the time before the fault
-  double loss = 0;
+  int other = 0;           // one-way link: the destination of the blocked direction
+  std::uint32_t side = 0;  // partition: bit set of the members on one side
+  int millis = 0;          // pause: its length; all kinds: twice the time that passes before the fault
+  double loss = 0;         // loss: fraction of datagrams lost from then on
 };
 
-// Plays faults on a fleet whose members below kSeeds are its seeds: these may be paused or cut off, but never
-// end for good.
-class FaultPlayer {
+// Injects faults into a fleet whose members below kSeeds are its seeds. Seeds may be paused or disconnected,
+// but are neither killed nor made to leave.
+class FaultInjector {
  public:
   static constexpr int kSeeds = 3;
-  FaultPlayer(sim::Fleet& fleet, int count)
+  FaultInjector(sim::Fleet& fleet, int count)
       : fleet_(fleet), count_(count), is_killed_(static_cast<std::size_t>(count), false) {}
 
-  void Play(const Fault& fault) {
+  // Runs the fleet for a while, then injects the fault.
+  void Inject(const Fault& fault) {
     fleet_.RunFor(Micros{fault.millis * 1'000LL / 2});
     const int member = fault.member % count_;
     switch (fault.kind) {
@@ -60,14 +62,14 @@
   }
 
  private:
-  bool CanEnd(int member) const { return member >= kSeeds && !is_killed_[member]; }
+  bool CanKill(int member) const { return member >= kSeeds && !is_killed_[member]; }
   void Kill(int member) {
-    if (!CanEnd(member)) return;
+    if (!CanKill(member)) return;
     fleet_.Kill(member);
     is_killed_[member] = true;
   }
   void Leave(int member) {
-    if (!CanEnd(member)) return;
+    if (!CanKill(member)) return;
     fleet_.Leave(member);
     Kill(member);
   }
@@ -99,7 +101,7 @@
 
 template <>
 struct Arbitrary<tinspan::members::Fault> {
-  // The name that rapidcheck asks for. NOLINTNEXTLINE(readability-identifier-naming): rapidcheck's
+  // NOLINTNEXTLINE(readability-identifier-naming): rapidcheck requires this name
   static Gen<tinspan::members::Fault> arbitrary() {
     using tinspan::members::Fault;
     using tinspan::members::FaultKind;
@@ -118,8 +120,8 @@
 namespace tinspan::members {
 namespace {
 
-// Once all is healed, every live member's view holds every live member alive and every other one not, within
-// a bound, and no live member is held dead.
+// Within 30 s after the faults have ended, the view of every running member has all running members alive and
+// no other one alive or suspect. No running member is dead in any view.
 RC_GTEST_PROP(FaultScheduleTest, ViewsConvergeAfterAnySchedule, ()) {
   const int count = *rc::gen::inRange(4, 10);
   const auto faults =
@@ -128,9 +130,9 @@
   sim::Fleet fleet(FastOptions(), seed);
   for (int member = 0; member < count; ++member) fleet.Add("", {0, 1, 2});
   RC_ASSERT(TimeToConverge(fleet, 20s) < 20s);
-  FaultPlayer player(fleet, count);
-  for (const Fault& fault : faults) player.Play(fault);
-  fleet.RunFor(4s);  // the longest pause is over
+  FaultInjector injector(fleet, count);
+  for (const Fault& fault : faults) injector.Inject(fault);
+  fleet.RunFor(4s);  // the longest pause has ended
   fleet.UnblockAllLinks();
   fleet.SetLink({});
   RC_ASSERT(TimeToConverge(fleet, 40s) < 30s);
--- a/tests/members/fleet_fixture.hpp
+++ b/tests/members/fleet_fixture.hpp
@@ -13,7 +13,7 @@
 
 namespace tinspan::members {
 
-// Options with intervals a fifth of the defaults and less, so that faults are over within seconds.
+// Options with intervals of at most half the defaults, so that the effects of faults end within seconds.
 inline Options FastOptions() {
   Options options;
   options.probe_interval = std::chrono::milliseconds(200);
@@ -23,14 +23,15 @@
   return options;
 }
 
-// A fleet of `count` members, each of which starts with member 0 as its seed.
+// Returns a fleet of `count` members, each of which joins through member 0.
 inline sim::Fleet StartFleet(int count, std::uint64_t seed = 1, sim::Link link = {}) {
   sim::Fleet fleet(FastOptions(), seed, link);
   for (int member = 0; member < count; ++member) fleet.Add("", {0});
   return fleet;
 }
 
-// Runs the fleet until it has converged; how long that took, or `limit` where it had not by then.
+// Runs the fleet until it has converged. Returns the simulated time that this took, or `limit` where the
+// fleet had not converged by then.
 inline Micros TimeToConverge(sim::Fleet& fleet, Micros limit) {
   constexpr Micros kStep{50'000};
   for (Micros waited{0}; waited < limit; waited += kStep) {
@@ -40,7 +41,7 @@
   return fleet.HasConverged() ? limit - kStep : limit;
 }
 
-// A fleet of eight that has converged.
+// A fleet of eight members that has converged.
 class ConvergedFleetTest : public testing::Test {
  protected:
   void SetUp() override { ASSERT_LT(TimeToConverge(fleet_, kConvergenceLimit), kConvergenceLimit); }
--- a/tests/members/local_health_test.cpp
+++ b/tests/members/local_health_test.cpp
@@ -1,4 +1,4 @@
-// LocalHealth: Lifeguard's local health multiplier.
+// Tests of LocalHealth, Lifeguard's local health multiplier.
 #include "members/local_health.hpp"
 
 #include <gtest/gtest.h>
@@ -20,7 +20,7 @@
   EXPECT_EQ(health.ProbeTimeout(), 500ms);
 }
 
-TEST(LocalHealthTest, StretchesTheProbesTimes) {
+TEST(LocalHealthTest, LengthensTheProbeIntervalAndTimeout) {
   const Options options;
   LocalHealth health(options);
   health.Adjust(2);
--- a/tests/members/member_table_test.cpp
+++ b/tests/members/member_table_test.cpp
@@ -1,4 +1,4 @@
-// MemberTable: counts by state, the digest, and the expiry of departed members.
+// Tests of MemberTable: counts by state, the digest, and the expiry of departed members.
 #include "members/member_table.hpp"
 
 #include <gtest/gtest.h>
@@ -46,7 +46,7 @@
   EXPECT_EQ(table_.CurrentDigest(), alive);
 }
 
-TEST_F(MemberTableTest, DigestFollowsANewReport) {
+TEST_F(MemberTableTest, DigestChangesWithANewReport) {
   Member& member = AddMember("other", 1);
   const Digest before = table_.CurrentDigest();
   ++member.report_version;
@@ -93,12 +93,12 @@
   EXPECT_EQ(ToUpdate(member, kStart).suspected_by, "first");
 }
 
-TEST(MemberNameTest, AcceptsLettersDigitsAndThreeMarks) {
+TEST(MemberNameTest, AcceptsLettersDigitsAndPunctuation) {
   EXPECT_TRUE(IsName("Edge-1_north.example"));
   EXPECT_TRUE(IsName(std::string(kMaxNameLength, 'n')));
 }
 
-TEST(MemberNameTest, RejectsWhatAnOperatorsLineCouldNotHold) {
+TEST(MemberNameTest, RejectsEmptyTooLongAndWhitespaceNames) {
   EXPECT_FALSE(IsName(""));
   EXPECT_FALSE(IsName("a b"));
   EXPECT_FALSE(IsName("a\nb"));
--- a/tests/members/membership_view_test.cpp
+++ b/tests/members/membership_view_test.cpp
@@ -1,5 +1,5 @@
-// MembershipView under simulated time: each fault played on a small fleet, and the limits on what datagrams
-// can make a view hold.
+// Tests of MembershipView in simulated time: each kind of fault on a small fleet, and the limits on the
+// memory that datagrams can make a view occupy.
 #include "members/membership_view.hpp"
 
 #include <gtest/gtest.h>
@@ -28,14 +28,14 @@
   EXPECT_LT(TimeToConverge(fleet, 10s), 5s);
 }
 
-TEST(MembershipViewTest, ThirtyJoinAtOnce) {
+TEST(MembershipViewTest, ThirtyMembersJoinAtTheSameTime) {
   sim::Fleet fleet = StartFleet(2);
   ASSERT_LT(TimeToConverge(fleet, 10s), 10s);
   for (int joined = 0; joined < 30; ++joined) fleet.Add("", {0, 1});
   EXPECT_LT(TimeToConverge(fleet, 30s), 15s);
 }
 
-TEST(MembershipViewTest, LossOfATenthCausesNoWrongDeath) {
+TEST(MembershipViewTest, TenPercentLossCausesNoFalseDeath) {
   sim::Fleet fleet = StartFleet(8, 3, sim::Link{0.1, Micros{100}, Micros{2'000}});
   ASSERT_LT(TimeToConverge(fleet, 20s), 20s);
   fleet.RunFor(60s);
@@ -89,7 +89,7 @@
   EXPECT_TRUE(fleet_.HasConverged());
 }
 
-TEST_F(MembershipViewFleetTest, ARestartUnderTheSameNameIsNewer) {
+TEST_F(MembershipViewFleetTest, ARestartUnderTheSameNameTakesPrecedence) {
   fleet_.Kill(4);
   fleet_.RunFor(500ms);
   fleet_.Restart(4);
@@ -109,7 +109,7 @@
     fleet_.RunFor(3s);
   }
   const Member& ReporterIn(int observer) const { return fleet_.ViewOf(observer).Members().at("m4"); }
-  // Checks what `observer` holds of the restarted member 4.
+  // Checks the restarted member 4's report in the view of `observer`.
   void ExpectNewReport(int observer) const {
     EXPECT_EQ(ReporterIn(observer).failing_servers, (std::vector<std::uint64_t>{9}));
     EXPECT_TRUE(ReporterIn(observer).lease_claims.empty());
@@ -117,14 +117,14 @@
   }
 };
 
-TEST_F(MembershipViewReportTest, ReachesTheOthers) {
+TEST_F(MembershipViewReportTest, ReachesOtherMembers) {
   EXPECT_EQ(ReporterIn(1).failing_servers, (std::vector<std::uint64_t>{5}));
   EXPECT_EQ(ReporterIn(1).lease_claims, (std::vector<LeaseClaim>{{"health", 77}}));
 }
 
-// Report versions count from 0 in each incarnation: the new one's report holds over the higher version
-// before, and all views have one digest again.
-TEST_F(MembershipViewReportTest, OfARestartedMemberReplacesTheOneBefore) {
+// Report versions start at 0 in each incarnation. The report of the new incarnation must replace the old one,
+// although the old one has a higher version, and all views must have the same digest again.
+TEST_F(MembershipViewReportTest, OfARestartedMemberReplacesItsPreviousReport) {
   fleet_.Kill(4);
   fleet_.RunFor(500ms);
   fleet_.Restart(4);
@@ -133,8 +133,8 @@
   for (const int observer : {0, 1, 2, 3, 5, 6, 7}) ExpectNewReport(observer);
 }
 
-// Whoever reaches the port can send names, suspectors and ping-reqs without end: what a view holds is
-// bounded.
+// Any host that reaches the port can send any number of names, suspectors and ping-reqs. The memory of a view
+// must stay bounded.
 class MembershipViewFloodTest : public testing::Test {
  protected:
   static MemberUpdate Self() {
@@ -142,7 +142,8 @@
     self.name = "self";
     return self;
   }
-  // Receives `messages` pings full of updates, each of which `fill` fills from a running number.
+  // Receives `messages` pings with the maximum number of updates. `fill` sets each update from a unique
+  // number.
   void Flood(int messages, const std::function<void(MemberUpdate&, std::uint64_t)>& fill) {
     for (int sent = 0; sent < messages; ++sent) {
       Message message;
@@ -162,12 +163,12 @@
   std::uint64_t number_ = 0;
 };
 
-TEST_F(MembershipViewFloodTest, OfNamesIsBoundedByTheTable) {
+TEST_F(MembershipViewFloodTest, NumberOfMembersIsLimited) {
   Flood(400, [](MemberUpdate& update, std::uint64_t number) { update.name = "n" + std::to_string(number); });
   EXPECT_EQ(view_.Members().size(), kMaxMembers);
 }
 
-TEST_F(MembershipViewFloodTest, OfSuspectorsIsBoundedForEachMember) {
+TEST_F(MembershipViewFloodTest, NumberOfSuspectorsPerMemberIsLimited) {
   Flood(10, [](MemberUpdate& update, std::uint64_t number) {
     update.name = "victim";
     update.state = State::kSuspect;
@@ -176,7 +177,7 @@
   EXPECT_EQ(view_.Members().at("victim").suspectors.size(), kMaxSuspectors);
 }
 
-TEST_F(MembershipViewFloodTest, OfPingRequestsIsRelayedToALimit) {
+TEST_F(MembershipViewFloodTest, NumberOfPendingRelaysIsLimited) {
   Message message;
   message.from = "sender";
   message.body = PingRequest{99, "another", {}};
--- a/tests/members/suspicion_test.cpp
+++ b/tests/members/suspicion_test.cpp
@@ -1,4 +1,4 @@
-// SuspicionTracker: deadlines of suspicions, and how confirmations shorten them.
+// Tests of SuspicionTracker: the deadlines of suspicions, and how confirmations shorten them.
 #include "members/suspicion.hpp"
 
 #include <gtest/gtest.h>
@@ -30,7 +30,8 @@
   EXPECT_FALSE(suspicions_.FirstExpired(kStart));
 }
 
-// alpha (4) * max(1, log10(n)) probe intervals of 1 s is the shortest; beta (6) times that the longest.
+// The shortest timeout is alpha (4) * max(1, log10(n)) probe intervals of 1 s; the longest is beta (6) times
+// that.
 TEST_F(SuspicionTrackerTest, LastsLongestWithoutAConfirmation) { EXPECT_EQ(suspicions_.Timeout(0), 24s); }
 
 TEST_F(SuspicionTrackerTest, LastsShortestWithAsManyConfirmationsAsIndirectProbes) {
@@ -52,7 +53,7 @@
   EXPECT_EQ(suspicions_.FirstExpired(kStart + 60s), "b-earlier");
 }
 
-TEST_F(SuspicionTrackerTest, AConfirmationShortensIt) {
+TEST_F(SuspicionTrackerTest, AConfirmationShortensTheSuspicion) {
   Member& member = AddSuspect("suspect");
   EXPECT_TRUE(suspicions_.Confirm(member, "second"));
   EXPECT_EQ(member.latest_suspector, "second");
@@ -66,7 +67,7 @@
   EXPECT_EQ(suspicions_.NextDeadline(), kStart + 24s);
 }
 
-TEST_F(SuspicionTrackerTest, ClearingEndsIt) {
+TEST_F(SuspicionTrackerTest, ClearingEndsTheSuspicion) {
   Member& member = AddSuspect("suspect");
   suspicions_.ClearSuspicion(member);
   EXPECT_TRUE(member.suspectors.empty());
--- a/tests/members/unit_fixture.hpp
+++ b/tests/members/unit_fixture.hpp
@@ -1,4 +1,4 @@
-// The parts of a membership view wired as MembershipView does it, for tests of one of them.
+// The parts of a membership view, connected as in MembershipView, for unit tests of one part.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -23,7 +23,7 @@
 constexpr Micros kStart = std::chrono::seconds(1'000);
 constexpr std::uint16_t kSelfPort = 7'000;
 
-// An update of a live member at its first incarnation.
+// Returns an update for an alive member at incarnation 1.
 inline MemberUpdate AliveUpdate(const std::string& name, std::uint16_t port) {
   MemberUpdate update;
   update.name = name;
