--- a/bench/lease_scale.cpp
+++ b/bench/lease_scale.cpp
@@ -1,8 +1,8 @@
-// Leases by the size of the fleet, in simulated time, with the LeaseNode and View that the program runs: five
-// voters, and three candidates that each member selects from its own view of the fleet. Prints one row a size
-// for docs/design/leases.md.
+// Measures leases in fleets of different sizes in simulated time, with the LeaseNode and View of the program.
+// There are five voters, and each member selects three candidates from its own view of the fleet. Prints one
+// table row per size, for docs/design/leases.md.
 //
-//   lease_scale [SIZE ...] [--seed N] [--kills N]     default: 300 2000, 5 kills
+//   lease_scale [SIZE ...] [--seed N] [--kills N]     default: sizes 300 and 2000, seed 1, 5 kills
 #include <algorithm>
 #include <chrono>
 #include <cstdint>
@@ -32,14 +32,14 @@
 constexpr Micros kMeasuredTime = 60s;
 constexpr Micros kTimeBetweenKills = 30s;
 constexpr Micros kMaxTakeoverTime = 120s;
-// A change of the endpoint list each so often, as during a release; a watcher polls two lists at each.
+// The interval between endpoint list changes, as during a release. A watcher polls two lists per change.
 constexpr Micros kListChangeInterval = 10s;
 constexpr std::uint64_t kPollsPerChange = 2;
 
 double Seconds(Micros span) { return static_cast<double>(span.count()) / 1e6; }
 
-// The simulations of the fleet view and of the leases, run side by side in steps; a member's view decides
-// whether it is a candidate.
+// Runs the simulations of the fleet view and of the leases in alternating steps. Each member's view
+// determines whether the member is a candidate.
 class Simulation {
  public:
   Simulation(int member_count, std::uint64_t seed)
@@ -71,11 +71,11 @@
 
   const lease::sim::Fleet& Leases() const { return leases_; }
 
-  // Polls for endpoint lists: if the holder alone watches for changes, and if every member does. A new
-  // watcher polls all lists.
-  std::uint64_t polls_of_holder = 0;
-  std::uint64_t polls_of_all = 0;
-  // For how long no member held the lease.
+  // The number of polls for endpoint lists if only the holder watches for changes, and if every member does.
+  // A new watcher polls all lists.
+  std::uint64_t polls_if_holder_watches = 0;
+  std::uint64_t polls_if_all_watch = 0;
+  // The total time during which no member held the lease.
   Micros time_without_holder{0};
 
  private:
@@ -112,13 +112,13 @@
     if (!holder) {
       time_without_holder += kStep;
     } else if (holder != watcher_) {
-      polls_of_holder += kPollsPerChange;
+      polls_if_holder_watches += kPollsPerChange;
       watcher_ = holder;
     }
     const std::int64_t step = leases_.Now() / kStep;
     if (step % (kListChangeInterval / kStep) != 0) return;
-    polls_of_holder += holder ? kPollsPerChange : 0;
-    polls_of_all += kPollsPerChange * RunningCount();
+    polls_if_holder_watches += holder ? kPollsPerChange : 0;
+    polls_if_all_watch += kPollsPerChange * RunningCount();
   }
 
   members::sim::Fleet views_;
@@ -127,8 +127,7 @@
   std::optional<int> watcher_;
 };
 
-// Kills the holder so many times. Returns how many seconds each lease took to be held again, in ascending
-// order.
+// Kills the holder `kills` times. Returns the sorted times in seconds until the lease was held again.
 std::vector<double> MeasureTakeovers(Simulation& simulation, int kills) {
   const lease::sim::Fleet& leases = simulation.Leases();
   std::vector<double> takeovers;
@@ -153,8 +152,8 @@
     std::printf("| %d | nobody holds after 60 s |\n", member_count);
     return;
   }
-  simulation.polls_of_holder = 0;
-  simulation.polls_of_all = 0;
+  simulation.polls_if_holder_watches = 0;
+  simulation.polls_if_all_watch = 0;
   simulation.time_without_holder = Micros{0};
   const std::uint64_t messages_before = leases.MessageCount();
   const Micros started_at = leases.Now();
@@ -166,8 +165,8 @@
   const auto violation = leases.RecordedHistory().FindViolation();
   std::printf("| %d | %.1f | %.4f | %.1f, %.1f, %.1f | %.0f | %.1f | %.1f | %s |\n", member_count,
               message_rate, message_rate / member_count, takeovers.front(), takeovers[takeovers.size() / 2],
-              takeovers.back(), static_cast<double>(simulation.polls_of_all) / minutes,
-              static_cast<double>(simulation.polls_of_holder) / minutes,
+              takeovers.back(), static_cast<double>(simulation.polls_if_all_watch) / minutes,
+              static_cast<double>(simulation.polls_if_holder_watches) / minutes,
               100 * Seconds(simulation.time_without_holder) / (60 * minutes),
               violation ? violation->c_str() : "kept");
   std::fflush(stdout);
@@ -179,7 +178,7 @@
   int kills = 5;
 };
 
-// Nothing where the command line is not valid; the reason is printed.
+// Returns nullopt and prints the reason if the command line is not valid.
 std::optional<Arguments> ParseArguments(const std::vector<std::string>& args) {
   Arguments arguments;
   for (std::size_t i = 0; i < args.size(); ++i) {
@@ -191,7 +190,8 @@
     } else {
       const int size = std::atoi(args[i].c_str());
       if (size < kMinSize) {
-        std::fprintf(stderr, "lease_scale: '%s' is no size of %d or more\n", args[i].c_str(), kMinSize);
+        std::fprintf(stderr, "lease_scale: invalid size '%s': expected an integer of at least %d\n",
+                     args[i].c_str(), kMinSize);
         return std::nullopt;
       }
       arguments.sizes.push_back(size);
--- a/src/lease/agent.cpp
+++ b/src/lease/agent.cpp
@@ -10,9 +10,9 @@
 namespace tinspan::lease {
 namespace {
 
-// Of messages that cannot be decoded the log names the first and then each of this many.
+// The first undecodable message is logged, then one in this many.
 constexpr std::uint64_t kRejectedPerLogLine = 1'000;
-// Added to each timer, so that it does not fire just before what it waits for is due.
+// Added to each timer's delay so that the timer does not fire just before its deadline.
 constexpr Micros kTimerMargin{500};
 
 LeaseOptions WithLeaseNames(const AgentOptions& agent_options) {
@@ -28,15 +28,15 @@
   switch (change.kind) {
     case LeaseChange::Kind::kGranted:
       log::Info("lease.granted", {{"duty", change.lease}, {"token", token}},
-                "leases: {} granted to this member, token {}", change.lease, token);
+                "leases: lease {} granted to this member, token {}", change.lease, token);
       break;
     case LeaseChange::Kind::kExpired:
-      log::Warn("lease.lapsed", {{"duty", change.lease}, {"token", token}}, "leases: {} expired, token {}",
-                change.lease, token);
+      log::Warn("lease.lapsed", {{"duty", change.lease}, {"token", token}},
+                "leases: lease {} expired, token {}", change.lease, token);
       break;
     case LeaseChange::Kind::kReleased:
-      log::Info("lease.released", {{"duty", change.lease}, {"token", token}}, "leases: {} released, token {}",
-                change.lease, token);
+      log::Info("lease.released", {{"duty", change.lease}, {"token", token}},
+                "leases: lease {} released, token {}", change.lease, token);
       break;
   }
 }
@@ -68,7 +68,8 @@
       [this](const std::string& sender, const std::string& bytes) { OnMessage(sender, bytes); });
   const bool is_voter = lease_node_.IsVoter();
   log::Info("lease.started", {{"voter", is_voter}, {"voters", options_.lease.voters.size()}},
-            "leases: {} of {} voters", is_voter ? "one" : "none", options_.lease.voters.size());
+            "leases: started; {} of the {} voters runs here", is_voter ? "one" : "none",
+            options_.lease.voters.size());
   OnTimer();
 }
 
@@ -98,7 +99,7 @@
   ++rejected_messages_;
   if (rejected_messages_ != 1 && rejected_messages_ % kRejectedPerLogLine != 0) return;
   log::Warn("lease.message_refused", {{"reason", error.detail}, {"count", rejected_messages_}},
-            "leases: a message rejected ({}), {} so far", error.detail, rejected_messages_);
+            "leases: message rejected ({}); {} rejected so far", error.detail, rejected_messages_);
 }
 
 SubmitResult Agent::SubmitPurge(Purge purge) {
@@ -107,10 +108,10 @@
   return result;
 }
 
-// Who is alive, and who claims a lease, as the fleet view has it: candidates and known holders follow from
-// that.
+// Reads from the fleet view which members are alive and which claim to hold a lease, then updates the known
+// claims and this member's candidacies.
 void Agent::RefreshFromView(Micros now) {
-  next_view_at_ = now + kViewInterval;
+  next_view_refresh_at_ = now + kViewRefreshInterval;
   alive_members_.clear();
   std::vector<LeaseClaim> claims;
   for (const auto& [name, member] : members_.View().Members()) {
@@ -128,7 +129,8 @@
   }
 }
 
-// Whether the node runs. It is constructed anew when the port is bound here: a voter's silence starts then.
+// Returns whether the node is running. Constructs the node anew once this process has bound the port, because
+// a voter's silent period starts at that time.
 bool Agent::StartOnceBound(Micros now) {
   if (is_started_) return true;
   if (!members_.IsStarted()) return false;
@@ -143,7 +145,7 @@
     ScheduleTimer();
     return;
   }
-  if (now >= next_view_at_) RefreshFromView(now);
+  if (now >= next_view_refresh_at_) RefreshFromView(now);
   lease_node_.Tick(now, WallMs());
   Flush();
 }
@@ -160,7 +162,7 @@
   ScheduleTimer();
 }
 
-// Publishes the leases held here through the fleet view.
+// Publishes the leases that this member holds as claims in the fleet view.
 void Agent::PublishClaims() {
   std::vector<members::LeaseClaim> claims;
   for (const std::string& lease : lease_node_.Options().lease_names) {
@@ -185,7 +187,7 @@
   for (const Purge& purge : purge_distributor_.DrainPurgesToApply()) {
     const std::uint64_t token = ToNumber(purge_distributor_.HighestToken());
     log::Info("purge.passed_on", {{"job", purge.id}, {"token", token}},
-              "purge {} of another member applied, token {}", purge.id, token);
+              "purge {} from another member applied, token {}", purge.id, token);
     if (purge_handler_) purge_handler_(purge);
   }
 }
@@ -199,7 +201,7 @@
 void Agent::AbandonLease(const char* lease, Token newer_token, Micros now) {
   const std::uint64_t token = ToNumber(newer_token);
   log::Warn("lease.fenced", {{"duty", lease}, {"token", token}},
-            "leases: {} is held elsewhere under a newer token, {}", lease, token);
+            "leases: lease {} was granted to another member under the newer token {}", lease, token);
   lease_node_.ObserveToken(lease, newer_token);
   lease_node_.Abandon(lease, now);
 }
@@ -216,7 +218,7 @@
   }
 }
 
-// Called from within the store's connection: the next request goes out by the timer.
+// Called from within a callback of the store's connection, so the timer sends the next request.
 void Agent::OnStoreResult(const StoreResult& result) {
   if (!result) {
     OnStoreFailed(result.error());
@@ -231,12 +233,12 @@
   ScheduleTimer();
 }
 
-// The log names each failure once until another one, or a success, comes in between.
+// Repeated failures with the same detail are logged once, until a different failure or a success occurs.
 void Agent::OnStoreFailed(const StoreError& error) {
   publisher_->OnFailed(Now());
   if (error.detail != last_store_failure_) {
-    log::Warn("lease.store_failed", {{"reason", error.detail}}, "leases: the store failed: {}; to be retried",
-              error.detail);
+    log::Warn("lease.store_failed", {{"reason", error.detail}},
+              "leases: request to the store failed: {}; retrying", error.detail);
   }
   last_store_failure_ = error.detail;
 }
@@ -251,12 +253,12 @@
 void Agent::ScheduleTimer() {
   if (timer_) loop_.Timers().Cancel(*timer_);
   const Micros now = Now();
-  Micros deadline = is_started_ ? std::min(lease_node_.NextDeadline(), next_view_at_) : Micros::max();
+  Micros deadline = is_started_ ? std::min(lease_node_.NextDeadline(), next_view_refresh_at_) : Micros::max();
   if (publisher_ && lease_node_.HeldToken(kHealthLease, now)) {
     deadline = std::min(deadline, publisher_->NextDeadline());
   }
   if (options_.distributes_purges) deadline = std::min(deadline, purge_distributor_.NextDeadline());
-  const Micros delay = std::clamp(deadline - now, Micros{0}, kViewInterval);
+  const Micros delay = std::clamp(deadline - now, Micros{0}, kViewRefreshInterval);
   timer_ = loop_.Timers().Set(net::Now() + delay + kTimerMargin, [this](Micros) {
     timer_.reset();
     OnTimer();
--- a/src/lease/agent.hpp
+++ b/src/lease/agent.hpp
@@ -1,12 +1,14 @@
-// Runs a member's lease node in the program: its messages over the fleet view's datagrams, its timer and log
-// lines, the publication of the fleet's health to the operators' store, and the distribution of purges. What
-// is decided comes from LeaseNode, Publisher and PurgeDistributor; this part does their I/O.
+// Does the I/O for the lease module: sends and receives lease messages in the fleet view's datagrams, runs
+// the timer, logs changes, publishes the fleet's health to the operators' store and distributes purges. The
+// decisions are made by LeaseNode, Publisher and PurgeDistributor, which do no I/O.
 //
-// Safe against: a machine that was suspended (the clock is CLOCK_BOOTTIME, which counts that time), a process
-// that was stopped (the lease is checked right before each request goes out), invalid messages (counted and
-// dropped), a store that is down (the lease is kept, the figures report it), and an upgrade: while the
-// process before this one has the port it still votes under the same name, so the node, and with it a voter's
-// silence, starts when the port is bound here.
+// Handles these faults:
+// - the machine was suspended: the clock is CLOCK_BOOTTIME, which includes suspended time;
+// - the process was stopped: the lease is checked immediately before each request is sent;
+// - invalid messages: they are counted and dropped;
+// - the store is down: the lease stays held, and the status and log report the failure;
+// - an upgrade: while the previous process has the port bound, it still votes under the same name. The node,
+//   and with it a voter's silent period, therefore starts only once this process has bound the port.
 #pragma once
 
 #include <cstddef>
@@ -25,26 +27,28 @@
 
 namespace tinspan::lease {
 
+/// The settings of an Agent.
 struct AgentOptions {
-  /// Where the holder of kHealthLease publishes.
+  /// Where and how often the holder of kHealthLease publishes the fleet's health.
   struct HealthPublication {
     net::Endpoint store;
     std::string key;
     Micros interval{5'000'000};
   };
 
-  LeaseOptions lease;                                   // `lease_names` is set by the agent
-  std::size_t candidate_count = 3;                      // members that try for a lease at a time
-  std::optional<HealthPublication> health_publication;  // none: kHealthLease is off
-  bool distributes_purges = false;                      // whether kPurgeLease is on
+  LeaseOptions lease;                                   // the agent sets `lease_names`
+  std::size_t candidate_count = 3;                      // members that are candidates for a lease at a time
+  std::optional<HealthPublication> health_publication;  // if unset, kHealthLease is off
+  bool distributes_purges = false;                      // whether kPurgeLease is enabled
   Micros purge_retention{60'000'000};                   // how long a purge is distributed
-  std::uint64_t seed = 0;
+  std::uint64_t seed = 0;                               // of the lease node's random generator
 };
 
+/// Runs this member's lease node on an event loop. Not thread-safe: use it from the loop's thread only.
 class Agent {
  public:
-  static constexpr Micros kViewInterval{250'000};  // between looks at the fleet view
-  static constexpr Micros kStoreTimeout{1'000'000};
+  static constexpr Micros kViewRefreshInterval{250'000};  // between two reads of the fleet view
+  static constexpr Micros kStoreTimeout{1'000'000};       // for each request to the store
   using PurgeHandler = std::function<void(const Purge&)>;
 
   /// `loop` and `members` must outlive the agent.
@@ -55,21 +59,22 @@
   Agent(Agent&&) = delete;
   Agent& operator=(Agent&&) = delete;
 
-  /// Releases all leases; this member is no candidate from here on.
+  /// Releases all leases and ends this member's candidacies permanently.
   void Leave();
-  /// `handler` is called for each purge of another member, to apply it here.
+  /// Sets the function that applies a purge from another member at this member.
   void SetPurgeHandler(PurgeHandler handler) { purge_handler_ = std::move(handler); }
   bool DistributesPurges() const { return options_.distributes_purges; }
-  /// Distributes an operator's purge that was applied here.
+  /// Distributes an operator's purge to the fleet. The caller has already applied it at this member. Returns
+  /// kTooManyOpen if the purge was not accepted for distribution.
   SubmitResult SubmitPurge(Purge purge);
 
   const LeaseNode& Leases() const { return lease_node_; }
   const std::optional<Publisher>& HealthPublisher() const { return publisher_; }
   const PurgeDistributor& Purges() const { return purge_distributor_; }
-  /// Messages that could not be decoded.
+  /// The number of messages that could not be decoded.
   std::uint64_t RejectedMessages() const { return rejected_messages_; }
-  /// A line a lease: NAME HOLDER TOKEN LEFT_MS ROLE, then for health number=N store=well or failing, for
-  /// purge open=N applied=N refused=N; unknown parts are - or 0.
+  /// One line per lease: NAME HOLDER TOKEN LEFT_MS ROLE, followed by number=N store=well|failing for health,
+  /// or open=N applied=N refused=N for purge. Unknown values are printed as - or 0.
   std::string StatusLines() const;
 
  private:
@@ -98,15 +103,15 @@
   net::EventLoop& loop_;
   members::Node& members_;
   AgentOptions options_;
-  bool is_started_ = false;  // the port is bound here
+  bool is_started_ = false;  // this process has bound the port
   LeaseNode lease_node_;
   std::optional<Publisher> publisher_;
   std::optional<KvStore> store_;
   PurgeDistributor purge_distributor_;
   PurgeHandler purge_handler_;
-  std::vector<std::string> alive_members_;  // at the last look at the view
+  std::vector<std::string> alive_members_;  // as of the last read of the fleet view
   std::string last_store_failure_;
-  Micros next_view_at_{0};
+  Micros next_view_refresh_at_{0};
   bool is_leaving_ = false;
   std::uint64_t rejected_messages_ = 0;
   std::optional<net::TimerQueue::Id> timer_;
--- a/src/lease/candidate_selection.hpp
+++ b/src/lease/candidate_selection.hpp
@@ -1,4 +1,4 @@
-// Which members of the fleet try for a lease.
+// Selects the members of the fleet that are candidates for a lease.
 #pragma once
 
 #include <cstddef>
@@ -7,9 +7,9 @@
 
 namespace tinspan::lease {
 
-/// The `count` of the members `alive` with the highest hash of lease and member name, highest first
-/// (rendezvous hashing: Thaler, Ravishankar, 1998): every member computes the same ones from the same view,
-/// and different leases load different members.
+/// Returns the `count` members of `alive` with the highest hash of lease and member name, highest first
+/// (rendezvous hashing: Thaler, Ravishankar, 1998); all of them if there are fewer. Members with the same
+/// view select the same candidates, and different leases put load on different members.
 std::vector<std::string> SelectCandidates(const std::string& lease, const std::vector<std::string>& alive,
                                           std::size_t count);
 
--- a/src/lease/candidate_state.cpp
+++ b/src/lease/candidate_state.cpp
@@ -5,16 +5,17 @@
 namespace tinspan::lease {
 namespace {
 
-// A hold is renewed each time this part of its validity has passed.
+// A hold is renewed after this fraction (1/n) of its validity.
 constexpr int kRenewalsPerValidity = 4;
 
-// The backoff after a ballot that lost to another candidate is random, from a 16th of the ballot timeout to a
-// quarter of it doubled with each failure in a row, up to four times.
+// The backoff after a ballot that lost to another candidate is random. It is at least 1/16 of the ballot
+// timeout and at most 1/4 of it, where the maximum doubles with each consecutive failure, up to four times.
 constexpr int kMaxBackoffDoublings = 4;
 constexpr int kMinBackoffDivisor = 16;
 constexpr int kBackoffDivisor = 4;
 
-// A candidate that learned when the lease may be free starts within this part of a ballot timeout after it.
+// A candidate that learned when the lease may become free starts its ballot within this fraction (1/n) of the
+// ballot timeout after that time, or after a notification that the lease is free.
 constexpr int kExpectedFreeJitterDivisor = 4;
 constexpr int kFreedJitterDivisor = 8;
 
@@ -37,8 +38,8 @@
   return now < reported_until_ ? reported_holder_ : std::string();
 }
 
-// A process that was stopped may read responses before its timers run; the promises that it waits for have
-// expired meanwhile, so an overdue ballot fails here too.
+// Whether the response is for the latest request. A process that was stopped may read responses before its
+// timers run, when the promises it waited for have expired, so a ballot that timed out fails here too.
 bool CandidateState::IsOpenRequest(NodeContext& context, Micros now, RequestId request_id) {
   if (request_id != request_id_) return false;
   if (!IsBallotOpen() || now < ballot_started_at_ + context.Options().ballot_timeout) return true;
@@ -50,8 +51,8 @@
                             const Promise& promise) {
   if (!IsOpenRequest(context, now, promise.request_id)) return;
   if (phase_ != Phase::kPreparing || promise.ballot != ballot_) return;
-  supporters_.insert(sender);
-  if (supporters_.size() < context.Options().Majority()) return;
+  agreeing_voters_.insert(sender);
+  if (agreeing_voters_.size() < context.Options().Majority()) return;
   phase_ = Phase::kProposing;
   SendProposal(context, now);
 }
@@ -61,12 +62,12 @@
   if (!IsOpenRequest(context, now, accept.request_id)) return;
   const bool expects_accepts = phase_ == Phase::kProposing || phase_ == Phase::kHolding;
   if (!expects_accepts || accept.ballot != ballot_) return;
-  supporters_.insert(sender);
-  if (supporters_.size() < context.Options().Majority()) return;
+  agreeing_voters_.insert(sender);
+  if (agreeing_voters_.size() < context.Options().Majority()) return;
   ConfirmHold(context, now);
 }
 
-// Accepts that arrive too late confirm nothing, nor do those for the renewal of a hold that has expired.
+// Accepts are ignored if they arrive after the end of the validity, or if they renew a hold that has expired.
 void CandidateState::ConfirmHold(NodeContext& context, Micros now) {
   const Micros validity = context.Options().HolderValidity();
   const Micros held_until = proposed_at_ + validity;
@@ -79,12 +80,13 @@
     ++context.Stats().renewals;
   }
   phase_ = Phase::kHolding;
-  failed_ballots_ = 0;
+  consecutive_failures_ = 0;
   held_until_ = held_until;
   renew_at_ = proposed_at_ + validity / kRenewalsPerValidity;
 }
 
-// Rejections end a ballot once a majority can no longer be reached. They end no hold: only time does.
+// A ballot fails once so many voters have rejected it that a majority is impossible. Rejections do not end a
+// hold, which lasts until it expires.
 void CandidateState::Handle(NodeContext& context, Micros now, const std::string& sender,
                             const Reject& reject) {
   const LeaseOptions& options = context.Options();
@@ -95,9 +97,9 @@
   }
   if (!IsOpenRequest(context, now, reject.request_id)) return;
   ++context.Stats().rejections;
-  opponents_.insert(sender);
+  rejecting_voters_.insert(sender);
   const std::size_t tolerated = options.voters.size() - options.Majority();
-  if (IsBallotOpen() && opponents_.size() > tolerated) FailBallot(context, now);
+  if (IsBallotOpen() && rejecting_voters_.size() > tolerated) FailBallot(context, now);
 }
 
 void CandidateState::Handle(NodeContext& context, Micros now, const std::string&, const LeaseFreed&) {
@@ -106,22 +108,23 @@
   next_ballot_at_ = std::min(next_ballot_at_, now + context.RandomBetween(Micros{0}, max_jitter));
 }
 
-// A candidate that was only early starts again when the reported holder's lease may have expired. One that
-// lost to another candidate backs off for a random and growing time, so that the candidates spread out.
+// If another member holds the lease, the next ballot starts when that lease may have expired. If the ballot
+// lost to another candidate, the backoff is random and grows with each failure, so that candidates do not
+// keep outbidding each other.
 void CandidateState::FailBallot(NodeContext& context, Micros now) {
   const Micros timeout = context.Options().ballot_timeout;
   phase_ = Phase::kIdle;
-  failed_ballots_ = std::min(failed_ballots_ + 1, kMaxBackoffDoublings);
-  const Micros max_backoff = timeout / kBackoffDivisor * (std::int64_t{1} << failed_ballots_);
+  consecutive_failures_ = std::min(consecutive_failures_ + 1, kMaxBackoffDoublings);
+  const Micros max_backoff = timeout / kBackoffDivisor * (std::int64_t{1} << consecutive_failures_);
   next_ballot_at_ =
       std::max(now, expected_free_at_) + context.RandomBetween(timeout / kMinBackoffDivisor, max_backoff);
   if (expected_free_at_ <= now) return;
-  failed_ballots_ = 0;
+  consecutive_failures_ = 0;
   next_ballot_at_ =
       expected_free_at_ + context.RandomBetween(Micros{0}, timeout / kExpectedFreeJitterDivisor);
 }
 
-// The time is noted before anything is sent: whatever a voter counts begins later.
+// Records the time before sending, so that the hold starts before any voter's grant does.
 void CandidateState::SendProposal(NodeContext& context, Micros now) {
   proposed_at_ = now;
   const RequestId request_id = BeginRequest(context);
@@ -129,8 +132,8 @@
 }
 
 RequestId CandidateState::BeginRequest(NodeContext& context) {
-  supporters_.clear();
-  opponents_.clear();
+  agreeing_voters_.clear();
+  rejecting_voters_.clear();
   request_id_ = context.NextRequestId();
   return request_id_;
 }
@@ -146,7 +149,7 @@
   if (phase_ == Phase::kHolding) EndHold(context, now, LeaseChange::Kind::kExpired);
 }
 
-// The hold ends here before the voters are notified: nothing is done under the token from then on.
+// Ends the hold before notifying the voters, so that nothing is done under the token after its release.
 void CandidateState::Release(NodeContext& context, Micros now) {
   is_candidate_ = false;
   if (phase_ != Phase::kHolding) {
--- a/src/lease/codec.cpp
+++ b/src/lease/codec.cpp
@@ -138,7 +138,7 @@
   return purge;
 }
 
-// Nothing for a kind of another family.
+// Returns nullopt if the kind is not one of the lease messages.
 std::optional<MessageBody> ReadBody(const wire::Envelope& envelope) {
   const Token ballot = BallotIn(envelope);
   const RequestId request_id = envelope.seq();
@@ -166,7 +166,7 @@
   }
 }
 
-// Nothing for a kind of another family.
+// Returns nullopt if the kind is not one of the purge messages.
 std::optional<PurgeMessageBody> ReadPurgeBody(const wire::Envelope& envelope) {
   const Token token = BallotIn(envelope);
   switch (static_cast<WireKind>(envelope.kind())) {
@@ -193,33 +193,33 @@
   return members::IsName(text.substr(0, slash)) && members::IsName(text.substr(slash + 1));
 }
 
-// What is wrong with the fields that both families share; nothing where they can be used.
+// Validates the fields that both families of messages share; returns nullopt if they are valid.
 std::optional<DecodeError> CheckCommonFields(const wire::Envelope& envelope) {
   if (!members::IsName(envelope.duty())) {
-    return DecodeError{Code::kInvalidName, "duty: 1 to 64 letters, digits, '-', '_' or '.'"};
+    return DecodeError{Code::kInvalidName, "duty: expected 1 to 64 letters, digits, '-', '_' or '.'"};
   }
   if (!envelope.holder().empty() && !members::IsName(envelope.holder())) {
-    return DecodeError{Code::kInvalidName, "holder: 1 to 64 letters, digits, '-', '_' or '.'"};
+    return DecodeError{Code::kInvalidName, "holder: expected 1 to 64 letters, digits, '-', '_' or '.'"};
   }
   if (envelope.ballot() > ToNumber(kMaxToken)) {
-    return DecodeError{Code::kBallotTooHigh, "ballot: 2^62 at most"};
+    return DecodeError{Code::kBallotTooHigh, "ballot: expected at most 2^62"};
   }
   return std::nullopt;
 }
 
 std::optional<DecodeError> CheckPurgeFields(const wire::Envelope& envelope) {
   if (!IsPurgeId(envelope.job())) {
-    return DecodeError{Code::kInvalidPurgeId, "job: an id ORIGIN/NUMBER of 96 bytes at most"};
+    return DecodeError{Code::kInvalidPurgeId, "job: expected SUBMITTER/NUMBER of at most 96 bytes"};
   }
   if (envelope.age_us() > kMaxDurationMicros) {
-    return DecodeError{Code::kDurationTooLong, "age_us: a day at most"};
+    return DecodeError{Code::kDurationTooLong, "age_us: expected at most 24 h"};
   }
   return std::nullopt;
 }
 
 std::optional<DecodeError> CheckLeaseFields(const wire::Envelope& envelope) {
   if (envelope.left_us() > kMaxDurationMicros) {
-    return DecodeError{Code::kDurationTooLong, "left_us: a day at most"};
+    return DecodeError{Code::kDurationTooLong, "left_us: expected at most 24 h"};
   }
   return std::nullopt;
 }
--- a/src/lease/codec.hpp
+++ b/src/lease/codec.hpp
@@ -1,5 +1,5 @@
-// The lease module's messages as bytes and back (src/lease/lease.proto). Without I/O. This is where the
-// wire's field names (duty, left_us, job) meet the code's terms (lease, remaining, purge).
+// Encodes and decodes the lease module's messages (src/lease/lease.proto); does no I/O. The codec maps the
+// wire's field names (duty, left_us, job) to the code's terms (lease, remaining, purge).
 #pragma once
 
 #include <cstdint>
@@ -13,30 +13,31 @@
 
 namespace tinspan::lease {
 
-/// The version that is sent; messages of another one are rejected.
+/// The version that is sent. Messages with another version are rejected.
 constexpr std::uint32_t kWireVersion = 1;
 
-/// Why bytes are not a usable message.
+/// Why bytes were not decoded.
 struct DecodeError {
   enum class Code {
-    kMalformed,           // protobuf that does not parse
+    kMalformed,           // not parsable as protobuf
     kUnsupportedVersion,  // not kWireVersion
     kUnknownKind,
-    kInvalidName,      // of the lease or its holder: not 1 to 64 letters, digits, '-', '_' or '.'
+    kInvalidName,      // the lease or holder is not 1 to 64 letters, digits, '-', '_' or '.'
     kBallotTooHigh,    // above kMaxToken
-    kDurationTooLong,  // over a day
-    kInvalidPurgeId,   // not ORIGIN/NUMBER of at most kMaxPurgeIdBytes
+    kDurationTooLong,  // more than a day
+    kInvalidPurgeId,   // not SUBMITTER/NUMBER of at most kMaxPurgeIdBytes
   };
   Code code;
-  std::string detail;  // for the log: the field and what was expected, without the bytes
+  std::string detail;  // for the log: the field and the expected value, without the received bytes
 };
 
+/// A lease message or a purge message.
 using AnyMessage = std::variant<Message, PurgeMessage>;
 
-/// The message as bytes. The sender is not part of them: whatever carries the bytes names it.
+/// Encodes the message without its sender, which the transport identifies.
 std::string Encode(const Message& message);
 std::string Encode(const PurgeMessage& message);
-/// The message that `sender` encoded, or why it cannot be used.
+/// Decodes a message that was received from `sender`; returns the reason if it is not valid.
 tl::expected<AnyMessage, DecodeError> Decode(std::string_view bytes, const std::string& sender);
 
 }  // namespace tinspan::lease
--- a/src/lease/fence.hpp
+++ b/src/lease/fence.hpp
@@ -1,4 +1,4 @@
-// The receiver's part of fencing: rejects whoever acts under a token older than one seen before.
+// The receiver's side of fencing: rejects requests whose token is lower than one seen before.
 #pragma once
 
 #include <map>
@@ -8,10 +8,11 @@
 
 namespace tinspan::lease {
 
-/// The highest token admitted of each lease.
+/// Tracks the highest token admitted for each lease.
 class Fence {
  public:
-  /// Whether an act under `token` is admitted: no higher one of that lease was seen before.
+  /// Returns whether a request under `token` is admitted, that is, whether no higher token of that lease was
+  /// admitted before.
   bool Admit(const std::string& lease, Token token) {
     Token& highest = highest_[lease];
     if (token < highest) return false;
@@ -19,7 +20,7 @@
     return true;
   }
 
-  /// The highest token admitted of that lease; kNoToken before the first.
+  /// The highest token admitted for the lease; kNoToken if none was.
   Token Highest(const std::string& lease) const {
     const auto found = highest_.find(lease);
     return found == highest_.end() ? kNoToken : found->second;
--- a/src/lease/health_record.hpp
+++ b/src/lease/health_record.hpp
@@ -1,4 +1,4 @@
-// The record of the fleet's health that the holder of kHealthLease publishes.
+// Builds the fleet health record that the holder of kHealthLease publishes.
 #pragma once
 
 #include <cstddef>
@@ -10,12 +10,12 @@
 
 namespace tinspan::lease {
 
-/// At most so many members that are not alive, and so many failing servers, are named in a record: it stays
-/// small however large the fleet, since stores and connections limit its size.
+/// The maximum number of members that are not alive, and of failing servers, that a record lists. It bounds
+/// the record's size in a large fleet, because the store and the connection limit that size.
 constexpr std::size_t kMaxNamedInRecord = 64;
 
-/// The record as JSON: what `view` shows of the fleet, under the number and token of `request`. `wall_ms` is
-/// the wall clock in milliseconds.
+/// Returns the record as JSON: the state of the fleet in `view`, with the number and token of `request`.
+/// `wall_ms` is the wall clock in milliseconds.
 std::string BuildHealthRecord(const members::MembershipView& view, const WriteRequest& request,
                               std::uint64_t wall_ms);
 
--- a/src/lease/history.hpp
+++ b/src/lease/history.hpp
@@ -1,9 +1,11 @@
-// A record of which leases were held and what was written under them, and the invariants that it has to
-// satisfy. Without I/O; fed by simulations and by tests with real processes.
+// Records when a lease was held and which writes were accepted under it, and checks the invariants of that
+// history. Does no I/O. Simulations and tests with real processes record into it.
 //
-// Invariants: a token has one holder; the spans during which two tokens were held do not overlap, and the
-// later span has the higher token; of the writes that a receiver accepted, none has a token below an earlier
-// one's; their numbers rise by one, so that none is lost and none is done twice.
+// Invariants:
+// - a token has one holder;
+// - the spans during which two tokens were held do not overlap, and the later span has the higher token;
+// - no accepted write has a lower token than an earlier accepted write;
+// - the numbers of the accepted writes increase by one, so no write is lost or done twice.
 #pragma once
 
 #include <cstddef>
@@ -18,26 +20,26 @@
 
 namespace tinspan::lease {
 
-/// The history of one lease. Times are true time, not any member's clock.
+/// The history of one lease. All times are true time, not a member's clock.
 class History {
  public:
-  /// `holder` relies on `token` from `from` until `until`; to be called again with a later `until` on each
-  /// renewal.
+  /// Records that `holder` holds the lease under `token` from `from` until `until`. Call it again with a
+  /// later `until` on each renewal.
   void RecordHold(Token token, const std::string& holder, Micros from, Micros until);
-  /// The hold ended before its time.
+  /// Records that the hold under `token` ended early, at `ended_at`.
   void RecordEnd(Token token, Micros ended_at);
-  /// A receiver accepted a write.
+  /// Records a write that a receiver accepted; `number` is the number of the written record.
   void RecordAcceptedWrite(Token token, std::uint64_t number);
-  /// A receiver rejected a write.
+  /// Records a write that a receiver rejected.
   void RecordRejectedWrite() { ++rejected_writes_; }
 
-  /// The first violated invariant of all, as text; none: all are satisfied.
+  /// Describes the first violation found; nullopt if all invariants are satisfied.
   std::optional<std::string> FindViolation() const;
-  /// Two tokens held at once, or one token held by two members.
+  /// Describes two tokens held at the same time, or one token held by two members; nullopt if there are none.
   std::optional<std::string> FindOverlap() const;
-  /// A later span with a lower token.
+  /// Describes a later span with a lower token; nullopt if there is none.
   std::optional<std::string> FindTokenOrderViolation() const;
-  /// Accepted writes out of order.
+  /// Describes the first accepted write that was out of order; nullopt if there is none.
   std::optional<std::string> FindWriteViolation() const { return write_violation_; }
 
   std::size_t GrantCount() const { return spans_.size(); }
@@ -54,7 +56,7 @@
   std::vector<TokenSpan> SpansByTime() const;
 
   std::map<Token, Span> spans_;
-  std::optional<std::string> shared_token_;  // a token with two holders, as text
+  std::optional<std::string> shared_token_;  // describes a token with two holders
   std::optional<std::string> write_violation_;
   Token last_token_ = kNoToken;
   std::uint64_t last_number_ = 0;
--- a/src/lease/kv_store.cpp
+++ b/src/lease/kv_store.cpp
@@ -13,11 +13,11 @@
 namespace {
 
 constexpr net::Connection::Limits kConnectionLimits{.max_read_bytes = 256 << 10, .max_write_bytes = 64 << 10};
-constexpr std::size_t kMaxValueBytes = 64 << 10;  // of a record in base64
+constexpr std::size_t kMaxValueBytes = 64 << 10;  // a record in base64
 constexpr int kStatusOk = 200;
 constexpr int kStatusNotFound = 404;
 
-// Base64 turns blocks of three bytes into four characters, the last of them with up to two '='.
+// Base64 encodes each block of three bytes as four characters; the last block ends in up to two '='.
 constexpr std::size_t kBase64BlockBytes = 3;
 constexpr std::size_t kBase64BlockChars = 4;
 constexpr std::size_t kMaxBase64Padding = 2;
@@ -39,7 +39,7 @@
 std::uint64_t UnsignedField(const nlohmann::json& object, const char* key) {
   const auto found = object.find(key);
   if (found == object.end() || !found->is_number_unsigned()) {
-    throw std::runtime_error(std::string(key) + ": expected a whole number from 0");
+    throw std::runtime_error(std::string(key) + ": expected an unsigned integer");
   }
   return found->get<std::uint64_t>();
 }
@@ -49,18 +49,18 @@
 StoredRecord ParseRecord(std::string_view json) {
   const nlohmann::json response = nlohmann::json::parse(json, nullptr, false);
   if (!response.is_array() || response.size() != 1 || !response[0].is_object()) {
-    throw std::runtime_error("the response: expected an array with one record");
+    throw std::runtime_error("response: expected a JSON array with one object");
   }
   const nlohmann::json& entry = response[0];
   StoredRecord stored;
   stored.index = UnsignedField(entry, "ModifyIndex");
   stored.token = Token{UnsignedField(entry, "Flags")};
-  if (stored.token > kMaxToken) throw std::runtime_error("Flags: expected a token of 2^62 at most");
+  if (stored.token > kMaxToken) throw std::runtime_error("Flags: expected a token of at most 2^62");
   const auto value = entry.find("Value");
-  if (value == entry.end() || !value->is_string()) throw std::runtime_error("Value: expected a text");
+  if (value == entry.end() || !value->is_string()) throw std::runtime_error("Value: expected a string");
   const nlohmann::json record =
       nlohmann::json::parse(DecodeBase64(value->get<std::string>()), nullptr, false);
-  if (!record.is_object()) throw std::runtime_error("Value: expected a record of ours, a JSON object");
+  if (!record.is_object()) throw std::runtime_error("Value: expected a JSON object in base64");
   stored.number = UnsignedField(record, "number");
   return stored;
 }
@@ -159,7 +159,7 @@
 }
 
 void KvStore::Fail(StoreError::Code code, const std::string& detail) {
-  CloseConnection();  // a late response must not be read as the next request's
+  CloseConnection();  // so that a late response is not taken for the response to the next request
   Finish(tl::unexpected(StoreError{code, detail}));
 }
 
--- a/src/lease/kv_store.hpp
+++ b/src/lease/kv_store.hpp
@@ -1,11 +1,13 @@
-// One record in a key-value store over HTTP, by the interface of Consul's KV store (GET and PUT /v1/kv/KEY
-// with `cas` and `flags`): one request at a time over a persistent connection. The token stands in the
-// record's flags, so that operators see it with the store's own tools. What to request is decided by
-// lease::Publisher.
+// HTTP client for one record in a key-value store with the interface of Consul's KV store (GET and PUT
+// /v1/kv/KEY with `cas` and `flags`). Sends one request at a time over a persistent connection. The token is
+// stored in the record's flags, so that operators can see it with the store's own tools. lease::Publisher
+// decides what to request.
 //
-// Safe against: a store that does not respond (a request fails after its timeout and its connection is
-// closed, so that a late response is never taken for the next request's), unreadable responses, and a record
-// that is not ours.
+// Handles these faults:
+// - the store does not respond: the request fails after its timeout and its connection is closed, so that a
+//   late response is never taken for the response to the next request;
+// - unreadable responses;
+// - a record that was not written by tinspan.
 #pragma once
 
 #include <functional>
@@ -28,18 +30,19 @@
   std::string detail;  // for the log
 };
 
-/// The response to a write. Whether it was accepted is known from the next read.
+/// The response to a write. It does not say whether the write was accepted; the next read shows that.
 struct WriteCompleted {};
 
 using StoreResponse = std::variant<StoredRecord, WriteCompleted>;
 using StoreResult = tl::expected<StoreResponse, StoreError>;
 
+/// Owns the connection to the store. Not thread-safe: use it from the event loop's thread only.
 class KvStore final : public net::Connection::Owner {
  public:
   using ResultHandler = std::function<void(const StoreResult&)>;
 
-  /// Requests to the record `key` of the store at `endpoint`; each fails after `timeout`. `on_result` is
-  /// called once for each request, from within the event loop. `loop` must outlive this object.
+  /// Sends requests for the record `key` to the store at `endpoint`; a request fails after `timeout`. The
+  /// event loop calls `on_result` once for each request. `loop` must outlive this object.
   KvStore(net::EventLoop& loop, const net::Endpoint& endpoint, std::string key, Micros timeout,
           ResultHandler on_result);
   ~KvStore();
@@ -48,9 +51,9 @@
   KvStore(KvStore&&) = delete;
   KvStore& operator=(KvStore&&) = delete;
 
-  /// Sends a read; only while no request is pending.
+  /// Sends a read. No other request may be pending.
   void Read();
-  /// Sends a write of the record `body` (JSON); only while no request is pending.
+  /// Sends a write of the record `body` (JSON). No other request may be pending.
   void Write(const WriteRequest& request, const std::string& body);
 
   void OnOpen(net::Connection& connection) override;
@@ -73,13 +76,14 @@
   const Micros timeout_;
   ResultHandler on_result_;
   std::unique_ptr<net::Connection> connection_;
-  std::unique_ptr<net::Connection> closed_connection_;  // closed from within its own callback
+  std::unique_ptr<net::Connection> closed_connection_;  // kept while it may be in its callback
   std::optional<net::TimerQueue::Id> timer_;
-  std::string request_;  // empty: none is pending
+  std::string request_;  // empty if no request is pending
   Method method_ = Method::kRead;
 };
 
-/// Parses the response to a read. Throws std::runtime_error, naming the field, if it is not a record of ours.
+/// Parses the response to a read. Throws std::runtime_error with the name of the field if the response is not
+/// a valid record.
 StoredRecord ParseRecord(std::string_view json);
 
 }  // namespace tinspan::lease
--- a/src/lease/lease_node.cpp
+++ b/src/lease/lease_node.cpp
@@ -74,7 +74,7 @@
   if (std::string holder = candidate.ReportedHolder(now); !holder.empty()) {
     return {std::move(holder), state->tokens.Highest(), candidate.ReportedUntil() - now, false};
   }
-  // The highest token known without a holder may be a mere ballot, even our own: a claim is better evidence.
+  // The highest observed token may be only a ballot, even one of this member, so a claim takes precedence.
   if (!state->tokens.Claimant().empty()) {
     return {state->tokens.Claimant(), state->tokens.HighestClaimed(), Micros{0}, false};
   }
@@ -92,7 +92,7 @@
   HandleLocalMessages(now);
 }
 
-// Messages of this member to itself, which may lead to further ones.
+// Handles the messages that this member sent to itself, and those that result from handling them.
 void LeaseNode::HandleLocalMessages(Micros now) {
   for (auto messages = context_.DrainLocalMessages(); !messages.empty();
        messages = context_.DrainLocalMessages()) {
--- a/src/lease/lease_node.hpp
+++ b/src/lease/lease_node.hpp
@@ -1,15 +1,15 @@
-// Leases of the fleet, granted by a majority of fixed voters. One node per member: it may be a voter, a
-// candidate and a holder at once. Without I/O: time, the wall clock and a seed are passed in; messages go out
-// through DrainMessages and come in through Receive. Design, alternatives and an outline of the proof:
-// docs/design/leases.md.
+// Leases for the fleet, granted by a majority of a fixed set of voters. Each member runs one node, which can
+// be a voter, a candidate and a holder at the same time. Does no I/O: the caller passes in the time, the wall
+// clock and a seed, hands received messages to Receive and sends the messages from DrainMessages. See
+// docs/design/leases.md for the design, its alternatives and an outline of the proof.
 //
-// Safe against:
-// - two concurrent holders: a majority grants, and spans allow for clocks that drift apart;
-// - a holder that was paused or partitioned and continues: its own clock ends the lease, and each grant has a
-//   higher fencing token, by which receivers reject the earlier one;
+// Handles these faults:
+// - two concurrent holders: a lease needs a majority, and its duration allows for clock drift;
+// - a holder that continues after a pause or partition: its lease expires by its own clock, and each later
+//   grant has a higher fencing token, so that receivers reject the earlier holder;
 // - a voter that restarted without its state: see VoterState;
-// - candidates that outbid each other for ever: they back off for random times;
-// - load that grows with the fleet: only selected candidates (SelectCandidates) send anything.
+// - candidates that keep outbidding each other: they back off for random times;
+// - load that grows with the fleet: only selected candidates (SelectCandidates) send requests.
 #pragma once
 
 #include <cstdint>
@@ -25,53 +25,55 @@
 
 namespace tinspan::lease {
 
-/// What this member knows of a lease, for operators.
+/// What this member knows about a lease, for operators.
 struct LeaseStatus {
-  std::string holder;  // empty: not known
+  std::string holder;  // empty if unknown
   Token token = kNoToken;
-  Micros remaining{0};  // as far as known here; of an own hold: by this node's clock
+  Micros remaining{0};  // time until the lease expires, by this node's clock; 0 if unknown
   bool is_held_here = false;
 };
 
+/// The lease node of one member. Not thread-safe. Ignores messages, claims and calls about a lease that is
+/// not in LeaseOptions::lease_names; queries return an empty value for it.
 class LeaseNode {
  public:
-  /// A node of the member `self` that starts at `now`; `seed` starts its random generator.
+  /// Starts the node of the member `self` at `now`; `seed` seeds its random generator.
   LeaseNode(LeaseOptions options, std::string self, std::uint64_t seed, Micros now);
 
-  /// Whether this member tries for the lease. Ending the candidacy ends no hold; it is not renewed by a new
-  /// ballot.
+  /// Sets whether this member starts ballots for the lease. Ending the candidacy does not end a hold, which
+  /// continues to be renewed; once it has ended, no new ballot is started.
   void SetCandidacy(const std::string& lease, bool is_candidate, Micros now);
-  /// Handles a message; one about a lease that is not configured here is ignored.
+  /// Handles a message from another member.
   void Receive(Micros now, const Message& message);
-  /// Does what is due. `wall_ms` is the wall clock in milliseconds.
+  /// Runs all actions that are due. `wall_ms` is the wall clock in milliseconds.
   void Tick(Micros now, std::uint64_t wall_ms);
-  /// When Tick has to be called next; Micros::max() if never.
+  /// When Tick must be called next; Micros::max() if no call is needed.
   Micros NextDeadline() const;
 
-  /// Records a token that a receiver has seen in use: the next ballot is above it.
+  /// Records a token that a receiver has seen in use. The next ballot is higher.
   void ObserveToken(const std::string& lease, Token token);
-  /// Records all claims that the fleet view holds now. A claim below an earlier one's token is not believed,
-  /// and no ballot goes below a claim; claims of leases that are not configured here are ignored.
+  /// Replaces the known claims by `claims`, all claims in the current fleet view. A claim with a lower token
+  /// than an earlier one is ignored, and each new ballot is higher than every claimed token.
   void ObserveClaims(const std::vector<LeaseClaim>& claims);
-  /// Ends the hold without notifying the voters: a receiver has rejected its token as superseded.
+  /// Ends the hold without notifying the voters, because a receiver has rejected its token as superseded.
   void Abandon(const std::string& lease, Micros now);
   /// Ends all candidacies and holds and notifies the voters.
   void ReleaseAll(Micros now);
 
-  /// The token to act under at `now`, or none. To be asked before each act: the process may have been stopped
-  /// since the last time.
+  /// The token that this member holds at `now`; nullopt if it does not hold the lease. Call this immediately
+  /// before each action under the lease, because the process may have been stopped since the last call.
   std::optional<Token> HeldToken(const std::string& lease, Micros now) const;
-  /// What is known of the lease: as held or granted here or as a voter reported it; failing these, as
-  /// claimed.
+  /// The status of the lease from the best source available, in this order: a hold of this member, a grant by
+  /// this voter, a report from another voter, a claim in the fleet view.
   LeaseStatus StatusOf(const std::string& lease, Micros now) const;
   /// The highest token ever claimed in the fleet view.
   Token HighestClaimedToken(const std::string& lease) const;
   /// Whether this member is a voter.
   bool IsVoter() const { return context_.IsVoter(context_.Self()); }
-  /// Whether this member is a voter that has recovered and answers candidates.
+  /// Whether this member is a voter that has recovered and responds to candidates.
   bool IsServing(const std::string& lease) const;
 
-  /// What is to be sent, and what changed, since the last call.
+  /// Return the messages to send, and the changes of this member's holds, since the last call.
   std::vector<OutboundMessage> DrainMessages() { return context_.DrainMessages(); }
   std::vector<LeaseChange> DrainChanges() { return context_.DrainChanges(); }
 
--- a/src/lease/messages.cpp
+++ b/src/lease/messages.cpp
@@ -3,7 +3,7 @@
 namespace tinspan::lease {
 namespace {
 
-// Reads the field that holds the ballot in each kind of message.
+// Returns the ballot field of each kind of message.
 struct BallotVisitor {
   template <class Body>
   Token operator()(const Body& body) const {
--- a/src/lease/messages.hpp
+++ b/src/lease/messages.hpp
@@ -1,5 +1,5 @@
-// The messages of the lease protocol, one type for each kind. The terms are those of Paxos (Lamport, "Paxos
-// Made Simple", 2001) as PaxosLease uses them (Trencseni, Gazso, Reinhardt, 2012).
+// The messages of the lease protocol, one type per kind. The terms are those of Paxos (Lamport, "Paxos Made
+// Simple", 2001) as used by PaxosLease (Trencseni, Gazso, Reinhardt, 2012).
 #pragma once
 
 #include <cstdint>
@@ -10,10 +10,10 @@
 
 namespace tinspan::lease {
 
-/// Identifies a request within its sender's incarnation; the response carries the same one.
+/// Identifies a request within its sender's incarnation. The response carries the same id.
 using RequestId = std::uint64_t;
 
-/// Candidate to voter: asks for the promise to accept nothing below `ballot`.
+/// Candidate to voter: asks for a promise to accept no ballot below `ballot`.
 struct Prepare {
   Token ballot = kNoToken;
   RequestId request_id = 0;
@@ -31,7 +31,7 @@
   RequestId request_id = 0;
 };
 
-/// Voter to candidate or holder: the lease is granted for a lease duration, counted by the voter's clock.
+/// Voter to candidate or holder: the lease is granted for one lease duration by the voter's clock.
 struct Accept {
   Token ballot = kNoToken;
   RequestId request_id = 0;
@@ -41,11 +41,11 @@
 struct Reject {
   Token highest_ballot = kNoToken;  // the highest that the voter has promised
   RequestId request_id = 0;
-  std::string holder;   // the member that holds the lease at the voter; empty: nobody
-  Micros remaining{0};  // of that member's lease; at most a lease duration
+  std::string holder;   // the member whose grant from this voter is in force; empty if there is none
+  Micros remaining{0};  // time until that grant expires; at most one lease duration
 };
 
-/// Holder to voter: the lease under `ballot` is given up.
+/// Holder to voter: the holder releases the lease that it held under `ballot`.
 struct Release {
   Token ballot = kNoToken;
 };
@@ -55,7 +55,7 @@
   Token highest_ballot = kNoToken;  // the highest that the voter has promised
 };
 
-/// Restarted voter to the other voters: asks what they granted.
+/// Restarted voter to the other voters: asks for their latest grants.
 struct RecoveryQuery {
   RequestId request_id = 0;
 };
@@ -64,7 +64,7 @@
 struct RecoveryReply {
   Token granted = kNoToken;
   RequestId request_id = 0;
-  std::string holder;       // the member that `granted` was granted to; empty: none
+  std::string holder;       // the member that received `granted`; empty if there was no grant
   bool is_serving = false;  // whether the sender has kept its state since before the restart
 };
 
@@ -73,18 +73,18 @@
 
 /// A message about one lease.
 struct Message {
-  std::string lease;   // the lease's name
-  std::string sender;  // a member's name
+  std::string lease;   // name of the lease
+  std::string sender;  // name of the sending member
   MessageBody body;
 };
 
-/// A message and the member it is to be sent to.
+/// A message and its recipient's member name.
 struct OutboundMessage {
   std::string recipient;
   Message message;
 };
 
-/// The highest ballot or token that a message carries; kNoToken where its kind has none.
+/// Returns the ballot or token that a message carries; kNoToken if its kind has none.
 Token BallotOf(const MessageBody& body);
 
 }  // namespace tinspan::lease
--- a/src/lease/node_context.hpp
+++ b/src/lease/node_context.hpp
@@ -1,5 +1,5 @@
-// What the voter and candidate states of one lease node share: options, identity, random numbers, request
-// ids, and what they hand out (messages, changes and statistics).
+// The context that the voter and candidate states of a lease node share: options, member name, random
+// numbers, request ids, queues of outgoing messages and changes, and statistics.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace tinspan::lease {
 
-/// A change of this node's own hold on a lease, for logs and for whoever acts on it.
+/// A change in whether this node holds a lease, for logs and for callers that act on it.
 struct LeaseChange {
   enum class Kind { kGranted, kExpired, kReleased };
   Kind kind;
@@ -21,7 +21,7 @@
   Token token;
 };
 
-/// Counted since the node was constructed.
+/// Counters since the construction of the node.
 struct LeaseStats {
   std::uint64_t messages_sent = 0;
   std::uint64_t messages_received = 0;
@@ -32,10 +32,10 @@
   std::uint64_t rejections = 0;  // received
 };
 
-/// Owned by a LeaseNode, which passes it to its states on each call.
+/// Owned by a LeaseNode, which passes it to its states in each call.
 class NodeContext {
  public:
-  /// `self` is this member's name; `seed` starts the random generator.
+  /// `self` is this member's name; `seed` seeds the random generator.
   NodeContext(LeaseOptions options, std::string self, std::uint64_t seed);
 
   const LeaseOptions& Options() const { return options_; }
@@ -43,19 +43,20 @@
   LeaseStats& Stats() { return stats_; }
   const LeaseStats& Stats() const { return stats_; }
 
-  /// Whether the member of that name is a voter.
+  /// Whether the member is a voter.
   bool IsVoter(const std::string& member) const;
-  /// A uniformly distributed span from `min` to `max`; `min` (and no draw) where that range is empty.
+  /// Returns a uniformly distributed span from `min` to `max`. If `max` is not above `min`, returns `min`
+  /// without drawing a random number.
   Micros RandomBetween(Micros min, Micros max);
   RequestId NextRequestId() { return ++last_request_id_; }
 
-  /// Queues a message; one to this member itself goes to the local queue and is not counted as sent.
+  /// Queues a message. A message to this member itself goes to the local queue and is not counted as sent.
   void Send(const std::string& recipient, const std::string& lease, MessageBody body);
   /// Queues the same message to every voter, in the order of the options.
   void SendToVoters(const std::string& lease, const MessageBody& body);
   void AddChange(LeaseChange change) { changes_.push_back(std::move(change)); }
 
-  /// What was queued since the last call, in order.
+  /// Return what was queued since the last call, in order.
   std::vector<Message> DrainLocalMessages() { return std::exchange(local_messages_, {}); }
   std::vector<OutboundMessage> DrainMessages() { return std::exchange(outbound_messages_, {}); }
   std::vector<LeaseChange> DrainChanges() { return std::exchange(changes_, {}); }
--- a/src/lease/observed_tokens.hpp
+++ b/src/lease/observed_tokens.hpp
@@ -1,5 +1,5 @@
-// What a member has learned of a lease's tokens from others: messages, the fleet view's claims, and
-// receivers.
+// The tokens of a lease that a member has observed in messages, in claims in the fleet view, and in the
+// responses of receivers.
 #pragma once
 
 #include <algorithm>
@@ -16,18 +16,18 @@
   Token token = kNoToken;
 };
 
-/// The highest tokens seen of one lease, and who claims to hold it.
+/// The highest tokens observed for one lease, and the member that claims to hold it.
 class ObservedTokens {
  public:
-  /// Records a token that was seen in use; one above kMaxToken is ignored.
+  /// Records a token that was seen in use. A token above kMaxToken is ignored.
   void Observe(Token token) {
     if (token <= kMaxToken) highest_ = std::max(highest_, token);
   }
 
-  /// Forgets the claimant, not the highest claimed token: to be called before each new list of claims.
+  /// Clears the claimant but not the highest claimed token. Call this before each new list of claims.
   void ClearClaimant() { claimant_.clear(); }
 
-  /// Records a claim; one with no token, an invalid one, or one below an earlier claim's is ignored.
+  /// Records a claim. It is ignored if its token is kNoToken, above kMaxToken, or below an earlier claim's.
   void ObserveClaim(const std::string& member, Token token) {
     if (token == kNoToken || token > kMaxToken || token < highest_claimed_) return;
     highest_claimed_ = token;
@@ -37,9 +37,9 @@
 
   /// The highest token seen in use, as a ballot or as a grant.
   Token Highest() const { return highest_; }
-  /// The highest token that was ever claimed.
+  /// The highest token ever claimed.
   Token HighestClaimed() const { return highest_claimed_; }
-  /// The member that claims HighestClaimed(); empty: nobody does now.
+  /// The member that currently claims HighestClaimed(); empty if there is none.
   const std::string& Claimant() const { return claimant_; }
 
  private:
--- a/src/lease/publisher.cpp
+++ b/src/lease/publisher.cpp
@@ -15,10 +15,10 @@
 
 std::optional<StoreRequest> Publisher::NextRequest(Micros now, std::optional<Token> held) {
   if (is_pending_ || !held) return std::nullopt;
-  if (*held != held_token_) {  // a new grant: read, then claim the record at once
+  if (*held != held_token_) {  // a new grant: read and then write the record without delay
     held_token_ = *held;
     is_record_known_ = false;
-    failures_in_a_row_ = 0;
+    consecutive_failures_ = 0;
     next_request_at_ = now;
   }
   if (now < next_request_at_) return std::nullopt;
@@ -29,11 +29,11 @@
   return *unconfirmed_write_;
 }
 
-// After a confirmed write the next one is due an interval later, on the index that was read now; otherwise it
-// is due at once.
+// After a confirmed write, the next write is due one interval later and uses the index read here. Otherwise
+// it is due immediately, unless the record has a newer token.
 RecordCheck Publisher::OnRead(Micros now, const StoredRecord& stored) {
   is_pending_ = false;
-  failures_in_a_row_ = 0;
+  consecutive_failures_ = 0;
   stored_ = stored;
   last_number_ = stored.number;
   const bool is_confirmed = unconfirmed_write_ && IsSameRecord(stored, *unconfirmed_write_);
@@ -50,9 +50,9 @@
   is_pending_ = false;
   is_record_known_ = false;
   ++failure_count_;
-  const std::int64_t factor = std::int64_t{1} << std::min(failures_in_a_row_, kMaxBackoffDoublings);
+  const std::int64_t factor = std::int64_t{1} << std::min(consecutive_failures_, kMaxBackoffDoublings);
   next_request_at_ = now + std::min(kMaxBackoff, kMinBackoff * factor);
-  ++failures_in_a_row_;
+  ++consecutive_failures_;
 }
 
 }  // namespace tinspan::lease
--- a/src/lease/purge_distributor.cpp
+++ b/src/lease/purge_distributor.cpp
@@ -11,7 +11,7 @@
   return aged;
 }
 
-bool IsOrigin(const std::string& member, const std::string& purge_id) {
+bool IsSubmitter(const std::string& member, const std::string& purge_id) {
   return purge_id.starts_with(member + "/");
 }
 
@@ -24,7 +24,7 @@
   messages_.push_back({recipient, {self_, std::move(body)}});
 }
 
-// Whether the id was new.
+// Returns whether the id was new. Beyond kMaxAppliedIds the oldest id is forgotten.
 bool PurgeDistributor::RememberApplied(const std::string& purge_id) {
   if (!applied_ids_.insert(purge_id).second) return false;
   applied_ids_by_age_.push_back(purge_id);
@@ -64,7 +64,8 @@
   std::visit([&](const auto& body) { this->Handle(now, message.sender, held, body); }, message.body);
 }
 
-// Without a reply (no hold here, or too many purges) the origin hands the purge over again later.
+// Sends no reply if this member does not hold the lease or has too many open purges; the submitter then hands
+// the purge over again later.
 void PurgeDistributor::Handle(Micros now, const std::string& sender, std::optional<Token> held,
                               const HandOverPurge& request) {
   const Purge& purge = request.purge;
@@ -73,7 +74,7 @@
   StartDistribution(now, purge, now - age);
   const auto distribution = distributions_.find(purge.id);
   if (distribution == distributions_.end()) return;
-  if (IsOrigin(sender, purge.id)) distribution->second.applied_by.insert(sender);
+  if (IsSubmitter(sender, purge.id)) distribution->second.applied_by.insert(sender);
   Send(sender, HandOverAccepted{*held, purge.id});
 }
 
@@ -94,7 +95,8 @@
   Send(sender, PurgeApplied{request.token, request.purge.id});
 }
 
-// Acknowledgements count only from members that the purge was sent to: invented names would fill the memory.
+// Only acknowledgements from members that were sent the purge count, so that forged sender names cannot
+// exhaust the memory.
 void PurgeDistributor::Handle(Micros, const std::string& sender, std::optional<Token> held,
                               const PurgeApplied& reply) {
   const auto found = distributions_.find(reply.purge_id);
@@ -109,7 +111,8 @@
   superseding_token_ = std::max(superseding_token_, reply.newer_token);
 }
 
-// Distributions under an earlier token are started anew from what the origins hand over again.
+// Distributions under an earlier token are dropped. They start again when the submitters hand their purges
+// over again.
 void PurgeDistributor::Tick(Micros now, const std::string& holder, std::optional<Token> held,
                             const std::vector<std::string>& alive) {
   if (held != distribution_token_) {
@@ -140,7 +143,7 @@
   if (distribution != distributions_.end()) distribution->second.applied_by.insert(self_);
 }
 
-// A purge that was accepted is handed over again, less often, in case another member has become the holder.
+// An accepted purge is handed over again, but less often, in case another member has become the holder.
 void PurgeDistributor::HandOver(Micros now, const std::string& holder, OwnPurge& own) {
   own.next_hand_over_at = now + kRetryInterval;
   if (holder.empty() || holder == self_) return;
@@ -178,7 +181,7 @@
   distribution.next_round_at = now + (is_complete ? kRefreshInterval : retry_interval);
 }
 
-// Whether a message was sent: not if the last one may still be acknowledged.
+// Returns whether a message was sent. None is sent within kRetryInterval of the last unacknowledged one.
 bool PurgeDistributor::SendToMember(Micros now, Token held, const std::string& member,
                                     Distribution& distribution) {
   const auto [last_sent, is_first] = distribution.sent_at.try_emplace(member, now);
--- a/src/lease/purge_distributor.hpp
+++ b/src/lease/purge_distributor.hpp
@@ -1,15 +1,14 @@
-// Distributes operators' purges: one submitted at any member is applied at every member of the fleet. The
-// origin hands it over to the holder of the lease kPurgeLease, repeatedly while the purge is retained; the
+// Distributes operators' purges: a purge submitted at any member is applied at every member of the fleet. The
+// submitter hands it over to the holder of the lease kPurgeLease, repeatedly while the purge is retained. The
 // holder sends it to every member that is alive in its view until each has applied it. A member applies each
-// purge once, and none from a holder whose token is older than one it has seen. Without I/O.
+// purge once, and rejects a holder whose token is older than one that it has seen. Does no I/O.
 //
-// Safe against:
-// - a holder that dies half way: the purge is handed over to the next one, which completes it; members that
-// have
-//   applied it acknowledge and do nothing;
-// - a holder that was paused and continues: its token is stale;
-// - a member that was partitioned or started late: it is sent the purge as long as that is retained;
-// - floods: open purges and messages per round are bounded.
+// Handles these faults:
+// - the holder dies during a distribution: the submitter hands the purge over to the next holder, which
+//   completes it; members that have already applied the purge only acknowledge it;
+// - the holder continues after a pause: its token is stale;
+// - a member was partitioned or started late: it is sent the purge as long as the purge is retained;
+// - too many purges: the number of open purges and of messages per round is limited.
 #pragma once
 
 #include <cstddef>
@@ -29,51 +28,53 @@
 
 namespace tinspan::lease {
 
-/// What became of a submitted purge.
+/// Whether a submitted purge was accepted for distribution.
 enum class SubmitResult { kAccepted, kTooManyOpen };
 
+/// A member's part in the distribution, as submitter, holder and receiver. Not thread-safe.
 class PurgeDistributor {
  public:
-  static constexpr std::size_t kMaxOpenPurges = 256;        // as origin, and as holder
-  static constexpr std::size_t kMaxAppliedIds = 4'096;      // remembered, so that none is applied twice
-  static constexpr std::size_t kMaxMessagesPerRound = 64;   // sent in one round by a holder
-  static constexpr std::size_t kMaxVisitsPerRound = 4'096;  // members looked at in one round, over all purges
-  static constexpr Micros kRetryInterval{100'000};          // until a message is acknowledged
-  static constexpr Micros kRefreshInterval{
-      1'000'000};                                 // of what is acknowledged, for new holders and members
-  static constexpr Micros kBurstInterval{5'000};  // between rounds that reached their message limit
-
-  /// `self` is this member's name, `incarnation` makes its purge ids differ from those of earlier
-  /// incarnations, and `retention` is how long a purge is distributed.
+  static constexpr std::size_t kMaxOpenPurges = 256;        // as submitter and as holder, each
+  static constexpr std::size_t kMaxAppliedIds = 4'096;      // remembered to avoid applying a purge twice
+  static constexpr std::size_t kMaxMessagesPerRound = 64;   // sent by a holder
+  static constexpr std::size_t kMaxVisitsPerRound = 4'096;  // members checked by a holder, over all purges
+  static constexpr Micros kRetryInterval{100'000};          // between sends of an unacknowledged message
+  /// Between rounds or hand-overs of an acknowledged purge, which reach new members and a new holder.
+  static constexpr Micros kRefreshInterval{1'000'000};
+  static constexpr Micros kBurstInterval{5'000};  // between rounds that reached the message limit
+
+  /// `self` is this member's name. `incarnation` is part of its purge ids, so that they differ from those of
+  /// earlier incarnations. A purge is distributed for `retention` after it was submitted.
   PurgeDistributor(std::string self, std::uint64_t incarnation, Micros retention);
 
-  /// Takes a purge from an operator; its id is set here. The caller has applied it at this member.
+  /// Accepts a purge from an operator and sets its id. The caller has already applied it at this member.
   SubmitResult Submit(Micros now, Purge purge);
-  /// Handles a message. `held` is this member's token of kPurgeLease if it holds that.
+  /// Handles a message. `held` is this member's token of kPurgeLease; nullopt if it does not hold that lease.
   void Receive(Micros now, const PurgeMessage& message, std::optional<Token> held);
-  /// Records a token seen in use elsewhere: holders with an older one are rejected from now on.
+  /// Records a token seen in use at another member. Holders with an older token are rejected from then on.
   void ObserveToken(Token token) { fence_.Admit(kPurgeLease, token); }
-  /// Hands over and distributes what is due. `holder` is the lease's holder as far as is known, or empty;
-  /// `held` is this member's token if it holds the lease; `alive` are the members alive in this member's
-  /// view.
+  /// Hands over and distributes the purges that are due. `holder` is the known holder of the lease, or empty;
+  /// `held` is this member's token if it holds the lease; `alive` lists the members that are alive in this
+  /// member's view.
   void Tick(Micros now, const std::string& holder, std::optional<Token> held,
             const std::vector<std::string>& alive);
-  /// When Tick has to be called next; Micros::max() if never.
+  /// When Tick must be called next; Micros::max() if no call is needed.
   Micros NextDeadline() const;
 
-  /// What is to be sent, and which purges are to be applied at this member, since the last call.
+  /// Return the messages to send, and the purges to apply at this member, since the last call.
   std::vector<OutboundPurgeMessage> DrainMessages() { return std::exchange(messages_, {}); }
   std::vector<Purge> DrainPurgesToApply() { return std::exchange(purges_to_apply_, {}); }
 
-  /// The highest token seen in use.
+  /// The highest token seen in use; kNoToken if there is none.
   Token HighestToken() const { return fence_.Highest(kPurgeLease); }
-  /// A token, reported by a member, that is newer than the one held when it was reported; kNoToken: none.
+  /// The highest token reported by a member that was newer than the token held at that time; kNoToken if none
+  /// was reported.
   Token SupersedingToken() const { return superseding_token_; }
-  /// Purges under way here, as origin and as holder.
+  /// The number of purges retained at this member, as submitter and as holder.
   std::size_t OpenCount() const { return own_purges_.size() + distributions_.size(); }
-  /// Purges of other members that were applied here.
+  /// The number of purges from other members that were applied at this member.
   std::uint64_t AppliedCount() const { return applied_count_; }
-  /// Messages rejected because of the holder's stale token.
+  /// The number of messages rejected because the holder's token was stale.
   std::uint64_t RejectedCount() const { return rejected_count_; }
 
  private:
@@ -90,11 +91,11 @@
     Purge purge;
     Micros submitted_at{0};
     Micros next_round_at{0};
-    std::unordered_set<std::string> applied_by;       // members alive in our view, and the origin
-    std::unordered_map<std::string, Micros> sent_at;  // the last message to each other member
+    std::unordered_set<std::string> applied_by;       // members alive in our view, and the submitter
+    std::unordered_map<std::string, Micros> sent_at;  // of the unacknowledged message to each member
   };
 
-  /// What a round has used of its limits.
+  /// The part of its limits that a round has used.
   struct RoundUsage {
     std::size_t messages = 0;
     std::size_t visits = 0;
@@ -127,7 +128,7 @@
   std::uint64_t last_number_ = 0;
   std::map<std::string, OwnPurge> own_purges_;         // by id
   std::map<std::string, Distribution> distributions_;  // by id
-  std::optional<Token> distribution_token_;            // the token that `distributions_` belong to
+  std::optional<Token> distribution_token_;            // the token under which `distributions_` started
   Fence fence_;
   std::unordered_set<std::string> applied_ids_;
   std::deque<std::string> applied_ids_by_age_;
--- a/src/lease/purge_messages.hpp
+++ b/src/lease/purge_messages.hpp
@@ -1,4 +1,5 @@
-// The messages that distribute operators' purges through the fleet, one type for each kind.
+// The messages that distribute operators' purges through the fleet, one type per kind. The submitter is
+// the member at which an operator submitted the purge.
 #pragma once
 
 #include <cstddef>
@@ -11,23 +12,23 @@
 
 namespace tinspan::lease {
 
-/// The length limit of a purge's id.
+/// The maximum length of a purge id.
 constexpr std::size_t kMaxPurgeIdBytes = 96;
 
 /// An operator's purge of a group of objects or of one object in it.
 struct Purge {
-  std::string id;  // ORIGIN/NUMBER, at most kMaxPurgeIdBytes; unique in the fleet
+  std::string id;  // SUBMITTER/NUMBER, at most kMaxPurgeIdBytes; unique in the fleet
   std::uint64_t group = 0;
-  std::optional<std::uint64_t> object;  // none: the whole group
-  Micros age{0};                        // time since it was submitted; wall clocks may differ between members
+  std::optional<std::uint64_t> object;  // if unset, the whole group is purged
+  Micros age{0};  // time since it was submitted; not a wall-clock time, because members' clocks may differ
 };
 
-/// Origin to holder: asks it to distribute the purge.
+/// Submitter to holder: asks it to distribute the purge.
 struct HandOverPurge {
   Purge purge;
 };
 
-/// Holder to origin: the purge is being distributed.
+/// Holder to submitter: the purge is being distributed.
 struct HandOverAccepted {
   Token token = kNoToken;  // the holder's
   std::string purge_id;
@@ -45,7 +46,7 @@
   std::string purge_id;
 };
 
-/// Member to holder: the holder's token is stale, nothing was applied.
+/// Member to holder: the holder's token is stale, and the purge was not applied.
 struct TokenSuperseded {
   Token newer_token = kNoToken;
   std::string purge_id;
@@ -54,12 +55,13 @@
 using PurgeMessageBody =
     std::variant<HandOverPurge, HandOverAccepted, ApplyPurge, PurgeApplied, TokenSuperseded>;
 
+/// A message about a purge.
 struct PurgeMessage {
-  std::string sender;  // a member's name
+  std::string sender;  // name of the sending member
   PurgeMessageBody body;
 };
 
-/// A message and the member it is to be sent to.
+/// A message and its recipient's member name.
 struct OutboundPurgeMessage {
   std::string recipient;
   PurgeMessage message;
--- a/src/lease/sim.cpp
+++ b/src/lease/sim.cpp
@@ -6,10 +6,10 @@
 namespace tinspan::lease::sim {
 namespace {
 
-// A member's tick is scheduled at least this far ahead, so that a deadline that cannot be met yet (a
-// candidate with nothing to publish) does not stop time.
+// The minimum delay of a scheduled tick. Without it, a deadline that has passed but causes no action (that of
+// a candidate with nothing to publish) would keep simulated time from advancing.
 constexpr Micros kMinTickDelay{1'000};
-// A member gives a request to the store up after this; its write may still be accepted later.
+// A member's request to the store fails after this time; its write may still be accepted later.
 constexpr Micros kStoreTimeout{500'000};
 
 }  // namespace
@@ -25,7 +25,7 @@
   for (std::size_t i = 0; i < voter_count; ++i) options_.voters.push_back("m" + std::to_string(i));
 }
 
-// A member's own clock: only its rate differs from true time, since its zero has no meaning.
+// A member's clock differs from true time only in its rate, because its zero point has no significance.
 Micros Fleet::LocalTime(const Member& member) const {
   return Micros{static_cast<std::int64_t>(static_cast<double>(now_.count()) * member.clock_rate)};
 }
@@ -147,17 +147,17 @@
   const bool has_deadline = deadline != Micros::max();
   const Micros due =
       has_deadline ? TrueTime(scheduled, deadline) + Micros{1} : now_ + options_.lease_duration;
-  const std::uint64_t schedule = ++scheduled.schedule;
+  const std::uint64_t tick_id = ++scheduled.latest_tick_id;
   const std::uint64_t incarnation = scheduled.incarnation;
   Schedule(std::max({due, scheduled.paused_until, now_ + kMinTickDelay}),
-           [this, member, schedule, incarnation] {
+           [this, member, tick_id, incarnation] {
              const Member& ticking = members_[member];
-             const bool is_void = ticking.incarnation != incarnation || ticking.schedule != schedule;
-             if (ticking.is_running && !is_void) RunTick(member);
+             const bool is_outdated = ticking.incarnation != incarnation || ticking.latest_tick_id != tick_id;
+             if (ticking.is_running && !is_outdated) RunTick(member);
            });
 }
 
-// As after a real pause, what was received meanwhile comes first.
+// Handles the events deferred during a pause before the tick, as a real process reads its messages first.
 void Fleet::RunTick(int member) {
   Member& ticking = members_[member];
   if (ticking.paused_until > now_) {
@@ -220,13 +220,14 @@
   return members_[member].is_store_cut || RandomChance(link_.loss);
 }
 
-// Either direction may be lost; the store itself never fails.
+// The request or the response may be lost; the store itself does not fail.
 void Fleet::CallStore(int member, const StoreRequest& request) {
   ++store_request_count_;
   Member& caller = members_[member];
   const bool is_request_lost = IsStoreMessageLost(member);
   const bool is_response_lost = IsStoreMessageLost(member);
-  const StoreCall call{member, caller.incarnation, ++caller.store_request, request, is_response_lost};
+  const StoreCall call{member, caller.incarnation, ++caller.latest_store_request_id, request,
+                       is_response_lost};
   Schedule(now_ + kStoreTimeout, [this, call] {
     Respond(call, [this](Member& waiting) { waiting.publisher->OnFailed(LocalTime(waiting)); });
   });
@@ -256,11 +257,11 @@
   });
 }
 
-// Runs `handle` as the caller, if it still waits for this very request.
+// Runs `handle` as the caller if that is still waiting for the response to this request.
 void Fleet::Respond(const StoreCall& call, std::function<void(Member&)> handle) {
   RunAs(call.member, call.incarnation, [this, call, handle = std::move(handle)] {
     Member& caller = members_[call.member];
-    if (caller.store_request == call.id && caller.publisher->IsPending()) handle(caller);
+    if (caller.latest_store_request_id == call.id && caller.publisher->IsPending()) handle(caller);
   });
 }
 
--- a/src/lease/sim.hpp
+++ b/src/lease/sim.hpp
@@ -1,7 +1,7 @@
-// A simulated fleet of lease nodes and a store that they write to, without I/O: messages are delayed, lost,
-// duplicated and reordered, links are cut one way or both, members are paused, killed and restarted without
-// their state, clocks run at rates of their own and wall clocks are wrong. Time is simulated and one seed
-// determines everything. Records the History of what was held and what the store accepted.
+// Simulates a fleet of lease nodes and the store that they write to; does no I/O. Messages are delayed, lost,
+// duplicated and reordered, links are cut in one or both directions, members are paused, killed and restarted
+// without their state, clocks run at different rates, and wall clocks are wrong. Time is simulated, and the
+// seed determines the whole run. Records the holds and the writes that the store accepted in a History.
 #pragma once
 
 #include <cstdint>
@@ -21,21 +21,22 @@
 
 namespace tinspan::lease::sim {
 
-/// How links between members, and to the store, behave.
+/// The quality of the links between members and to the store.
 struct LinkQuality {
   double loss = 0;         // share of messages lost
   double duplication = 0;  // share of messages that arrive twice
-  Micros min_delay{100};   // delays are uniform, so messages overtake one another
+  Micros min_delay{100};   // delays are uniformly distributed, so that messages are reordered
   Micros max_delay{2'000};
 };
 
+/// A simulated fleet. Members are identified by the index that Add returns. Not thread-safe.
 class Fleet {
  public:
-  /// The one lease of the simulation.
+  /// The only lease in the simulation.
   static constexpr const char* kLease = kHealthLease;
 
-  /// A fleet of no members yet. They will be named m0, m1, ...; the first `voter_count` of them vote. A
-  /// holder publishes each `publish_interval`.
+  /// A fleet without members. Members are named m0, m1, ... in the order in which they are added; the first
+  /// `voter_count` of them are voters. The holder publishes every `publish_interval`.
   Fleet(LeaseOptions options, std::size_t voter_count, Micros publish_interval, std::uint64_t seed);
   ~Fleet() = default;
   Fleet(const Fleet&) = delete;  // its events refer to it
@@ -43,40 +44,41 @@
   Fleet(Fleet&&) = delete;
   Fleet& operator=(Fleet&&) = delete;
 
-  /// Adds a member whose clock runs at `clock_rate` of true time and whose wall clock is wrong by
-  /// `wall_clock_offset`. Returns its index, by which the functions below name it.
+  /// Adds a member whose clock runs at `clock_rate` times true time and whose wall clock is off by
+  /// `wall_clock_offset`. Returns its index.
   int Add(double clock_rate = 1, Micros wall_clock_offset = Micros{0});
   void SetCandidacy(int member, bool is_candidate);
   void Kill(int member);
-  /// Starts a killed member again; all of its state is lost.
+  /// Starts a killed member again without its earlier state.
   void Restart(int member);
-  /// The member does nothing until then; what it receives meanwhile it handles afterwards.
+  /// Pauses the member until `until`. It handles the messages received during the pause afterwards.
   void Pause(int member, Micros until);
-  /// Ends the member's candidacy and releases what it holds; it continues to run.
+  /// Ends the member's candidacy and releases its lease. The member continues to run.
   void Leave(int member);
 
-  /// Faults of links; Heal ends all of them.
+  /// Link and store faults, which last until Heal. CutLink cuts one direction only.
   void CutLink(int from, int recipient) { cut_links_.insert({from, recipient}); }
   void CutStore(int member, bool is_cut) { members_[member].is_store_cut = is_cut; }
-  /// The member's requests to the store take up to `max_delay` longer.
+  /// Delays each of the member's requests to the store by an additional time of up to `max_delay`.
   void DelayStore(int member, Micros max_delay) { members_[member].max_store_delay = max_delay; }
   /// Cuts all links between the members of `side` and the others.
   void Partition(const std::vector<int>& side);
   void Heal();
   void SetLinkQuality(const LinkQuality& quality) { link_ = quality; }
 
+  /// Runs the simulation for `span` of true time.
   void RunFor(Micros span);
-  /// True time.
+  /// The current true time.
   Micros Now() const { return now_; }
   bool IsRunning(int member) const { return members_[member].is_running; }
   const LeaseNode& NodeOf(int member) const { return *members_[member].node; }
   std::string NameOf(int member) const { return members_[member].name; }
-  /// The first running member that holds the lease by its own clock.
+  /// The first running member that holds the lease by its own clock; nullopt if there is none.
   std::optional<int> Holder() const;
   const History& RecordedHistory() const { return history_; }
   std::uint64_t MessageCount() const { return message_count_; }
   std::uint64_t StoreRequestCount() const { return store_request_count_; }
-  /// What the store holds.
+  /// The record in the store.
   const StoredRecord& Stored() const { return stored_; }
 
  private:
@@ -91,10 +93,10 @@
     bool is_candidate = false;
     bool is_store_cut = false;
     Micros paused_until{0};
-    std::uint64_t schedule = 0;                   // the latest scheduled tick; earlier ones are void
-    std::uint64_t incarnation = 0;                // events of an earlier one are void
-    std::uint64_t store_request = 0;              // the latest; responses to earlier ones are void
-    std::vector<std::function<void()>> deferred;  // received while paused
+    std::uint64_t latest_tick_id = 0;             // earlier scheduled ticks are ignored
+    std::uint64_t incarnation = 0;                // events of earlier incarnations are ignored
+    std::uint64_t latest_store_request_id = 0;    // responses to earlier requests are ignored
+    std::vector<std::function<void()>> deferred;  // events that occurred during a pause
   };
 
   struct Event {
@@ -104,7 +106,7 @@
     bool operator>(const Event& other) const;
   };
 
-  /// A request to the store, and how it is to be handled.
+  /// A request to the store, its sender, and whether its response will be lost.
   struct StoreCall {
     int member;
     std::uint64_t incarnation;
@@ -123,7 +125,7 @@
   void Schedule(Micros run_at, std::function<void()> run);
   void ScheduleTick(int member);
   void RunTick(int member);
-  /// Runs as `member`, after its pause if it is paused; not at all if that incarnation has ended.
+  /// Runs `run` as `member`, after its pause if it is paused. Does nothing if that incarnation has ended.
   void RunAs(int member, std::uint64_t incarnation, std::function<void()> run);
   void Start(int member);
   void Flush(int member);
--- a/src/lease/token.hpp
+++ b/src/lease/token.hpp
@@ -1,4 +1,4 @@
-// Fencing tokens and the time unit that all parts of the lease module share.
+// Fencing tokens and the unit of time used throughout the lease module.
 #pragma once
 
 #include <chrono>
@@ -6,22 +6,22 @@
 
 namespace tinspan::lease {
 
-/// Points and spans of a monotonic clock. A clock may run up to LeaseOptions::max_clock_drift faster or
-/// slower than true time; it never steps back.
+/// Time points and durations of a monotonic clock, which may run faster or slower than true time by up to
+/// LeaseOptions::max_clock_drift but never steps back.
 using Micros = std::chrono::microseconds;
 
-/// The number of a ballot, and the fencing token of the grant that the ballot won: every later grant of the
-/// same lease has a higher one (Kleppmann, "How to do distributed locking", 2016).
+/// The number of a ballot, which is also the fencing token of the grant that the ballot won. Every later
+/// grant of the same lease has a higher token (Kleppmann, "How to do distributed locking", 2016).
 enum class Token : std::uint64_t {};
 
 /// No ballot and no grant.
 constexpr Token kNoToken{0};
 
-/// The highest token accepted from anyone: far above the milliseconds of any clock, and far enough below the
-/// type's maximum that adding one cannot overflow.
+/// The highest valid token: far above any wall-clock time in milliseconds, and low enough that adding one
+/// cannot overflow.
 constexpr Token kMaxToken{std::uint64_t{1} << 62};
 
-/// The token as a plain number, for the wire, logs and records.
+/// The token as an integer, for the wire, logs and records.
 constexpr std::uint64_t ToNumber(Token token) { return static_cast<std::uint64_t>(token); }
 
 }  // namespace tinspan::lease
--- a/src/lease/voter_state.cpp
+++ b/src/lease/voter_state.cpp
@@ -5,7 +5,7 @@
 namespace tinspan::lease {
 namespace {
 
-// Queries to the other voters are repeated this often within a ballot timeout.
+// The number of times that the query to the other voters is sent per ballot timeout.
 constexpr int kQueriesPerBallotTimeout = 4;
 
 }  // namespace
@@ -25,8 +25,9 @@
   return grant_;
 }
 
-// Each ballot is promised once: a repeated one, or the same number from another candidate, is rejected. While
-// another member's lease lasts no ballot is promised, since the promise would end that member's renewals.
+// Each ballot is promised once: a repeated Prepare, or one with the same ballot from another candidate, is
+// rejected. No ballot is promised while another member's lease is in force, because the promise would prevent
+// that member from renewing it.
 void VoterState::Handle(NodeContext& context, Micros now, const std::string& sender, const Prepare& prepare) {
   if (!is_serving_) return;
   const bool is_new = prepare.ballot > promised_ballot_ && prepare.ballot <= kMaxToken;
@@ -50,9 +51,9 @@
   context.Send(sender, lease_, Accept{propose.ballot, propose.request_id});
 }
 
-// A proposal needs its own promise, or that no other candidate's promise lasts: a voter whose promised
-// candidate came to nothing would otherwise reject the holder's renewals for good. Nothing below an earlier
-// grant is granted.
+// A proposal is granted if its ballot was promised to the sender or is above every promise, or if no promise
+// is in force any more. Without the last rule, a voter that promised a ballot which then failed would reject
+// the holder's renewals indefinitely. A ballot below an earlier grant's token is never granted.
 bool VoterState::CanGrant(Micros now, const std::string& sender, Token ballot) const {
   if (ballot > kMaxToken) return false;
   if (ballot > promised_ballot_) return true;
@@ -97,8 +98,8 @@
   }
 }
 
-// A voter that is itself still silent does not reply: an earlier incarnation of it may have granted what it
-// no longer knows.
+// A voter that is still in its silent period does not reply, because its earlier incarnation may have made a
+// grant that it no longer knows.
 void VoterState::Handle(NodeContext& context, Micros now, const std::string& sender,
                         const RecoveryQuery& query) {
   if (!context.IsVoter(sender)) return;
@@ -116,22 +117,22 @@
   promised_ballot_ = std::max(promised_ballot_, reply.granted);
 }
 
-// A majority of serving voters among the others intersects every majority that this voter was part of: it
-// knows what was granted there.
+// A majority made up of other, serving voters intersects every majority that this voter was part of, so at
+// least one of them knows each grant of that majority.
 bool VoterState::HasRecovered(const LeaseOptions& options) const {
   const auto serving = std::count_if(is_serving_by_voter_.begin(), is_serving_by_voter_.end(),
                                      [](const auto& entry) { return entry.second; });
   return static_cast<std::size_t>(serving) >= options.Majority();
 }
 
-// Either every other voter has replied without a majority of them serving (the whole fleet is starting), or
-// the others could not be reached for one more lease duration.
+// Either every other voter has replied and no majority of them is serving (the whole fleet is starting), or
+// can_start_alone is set and the voter could not recover for one more lease duration.
 bool VoterState::CanStartFromClock(const LeaseOptions& options, Micros now) const {
   const bool has_all_replies = is_serving_by_voter_.size() + 1 == options.voters.size();
   return has_all_replies || (options.can_start_alone && now >= can_start_alone_at_);
 }
 
-// The wall clock alone orders the tokens then.
+// Starts to serve without recovered grants. Only the wall clock then keeps new tokens above earlier ones.
 void VoterState::StartFromClock(std::uint64_t wall_ms) {
   is_serving_ = true;
   const Token clock_token{std::min(wall_ms, ToNumber(kMaxToken) - 1)};
@@ -155,7 +156,7 @@
   QueryOtherVoters(context);
 }
 
-// The query keeps its id when it is repeated, so that replies to any of its copies add up.
+// A repeated query has the same id, so that replies to any of its copies count.
 void VoterState::QueryOtherVoters(NodeContext& context) {
   if (query_id_ == 0) query_id_ = context.NextRequestId();
   for (const std::string& voter : context.Options().voters) {
--- a/src/lease/voter_state.hpp
+++ b/src/lease/voter_state.hpp
@@ -1,8 +1,8 @@
-// The voter (Paxos acceptor) of one lease: promises ballots, grants leases, and recovers after a restart.
+// The voter (Paxos acceptor) for one lease: promises ballots, grants the lease, and recovers after a restart.
 //
-// State is kept in memory only. A voter that starts does not know what it promised or granted before, so it
-// stays silent until every lease and promise that an earlier incarnation can have given has run out, then
-// queries the other voters, and serves once a majority that kept its state has answered.
+// The state is in memory only. A voter that starts does not know what its earlier incarnation promised or
+// granted. It therefore stays silent until every such promise and grant has expired, then queries the other
+// voters, and serves once a majority of serving voters has replied.
 #pragma once
 
 #include <cstdint>
@@ -15,37 +15,37 @@
 
 namespace tinspan::lease {
 
-/// A lease as one voter has granted it.
+/// A grant of the lease by one voter.
 struct Grant {
   std::string holder;
   Token token = kNoToken;
   Micros expires_at{0};  // by the voter's clock
 };
 
-/// Without I/O; `now` is the node's monotonic clock, and messages go out through the context.
+/// Does no I/O. `now` is the node's monotonic clock; messages are queued in the NodeContext.
 class VoterState {
  public:
-  /// The number of rejected candidates that a voter remembers, to notify them when the lease is released.
+  /// The maximum number of rejected candidates that are notified when the lease is released.
   static constexpr std::size_t kMaxRejectedCandidates = 8;
 
-  /// A voter that starts at `now` and is not serving yet.
+  /// Starts at `now`, not serving yet.
   VoterState(std::string lease, const LeaseOptions& options, Micros now);
 
-  /// Handle a request from the member `sender`. Requests for ballots are ignored until the voter serves.
+  /// Handle a message from the member `sender`. Prepare, Propose and Release are ignored until IsServing().
   void Handle(NodeContext& context, Micros now, const std::string& sender, const Prepare& prepare);
   void Handle(NodeContext& context, Micros now, const std::string& sender, const Propose& propose);
   void Handle(NodeContext& context, Micros now, const std::string& sender, const Release& release);
   void Handle(NodeContext& context, Micros now, const std::string& sender, const RecoveryQuery& query);
   void Handle(NodeContext& context, Micros now, const std::string& sender, const RecoveryReply& reply);
 
-  /// Advances recovery; nothing to do once the voter serves. `wall_ms` is the wall clock in milliseconds.
+  /// Advances the recovery; does nothing once the voter serves. `wall_ms` is the wall clock in milliseconds.
   void Tick(NodeContext& context, Micros now, std::uint64_t wall_ms);
-  /// When Tick has to be called next; Micros::max() once the voter serves.
+  /// When Tick must be called next; Micros::max() once the voter serves.
   Micros NextDeadline() const;
 
-  /// Whether the voter has recovered and answers candidates.
+  /// Whether the voter has recovered and responds to candidates.
   bool IsServing() const { return is_serving_; }
-  /// The grant that lasts at `now`, or none.
+  /// The grant in force at `now`; nullopt if there is none.
   std::optional<Grant> CurrentGrant(Micros now) const;
 
  private:
@@ -62,18 +62,18 @@
   std::string lease_;
   bool is_serving_ = false;
 
-  Token promised_ballot_ = kNoToken;  // the highest ever promised
+  Token promised_ballot_ = kNoToken;  // the highest ballot ever promised
   std::string promised_to_;
   Micros promised_until_{0};
-  Grant grant_;  // the one with the highest token ever; may have expired
+  Grant grant_;  // the known grant with the highest token; may have expired
   std::vector<std::string> rejected_candidates_;
 
-  /// Recovery.
+  /// The state of the recovery after a start.
   Micros silent_until_{0};
   Micros can_start_alone_at_{0};
   Micros next_query_at_{0};
   RequestId query_id_ = 0;
-  std::map<std::string, bool> is_serving_by_voter_;  // those that replied
+  std::map<std::string, bool> is_serving_by_voter_;  // the voters that replied
 };
 
 }  // namespace tinspan::lease
--- a/tests/lease/candidate_selection_test.cpp
+++ b/tests/lease/candidate_selection_test.cpp
@@ -1,4 +1,4 @@
-// Which members are selected as candidates.
+// Tests of the selection of candidates.
 #include "lease/candidate_selection.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/lease/candidate_state_test.cpp
+++ b/tests/lease/candidate_state_test.cpp
@@ -1,4 +1,4 @@
-// The candidate and holder of a lease, as part of a node whose voters the test plays.
+// Tests of the candidate and holder of a lease in a single node; the test sends the voters' messages.
 #include "lease/candidate_state.hpp"
 
 #include <gtest/gtest.h>
@@ -19,7 +19,8 @@
   EXPECT_EQ(TakeFirst<Propose>(node).ballot, prepare.ballot);
 }
 
-// The candidate was stopped between sending and receiving: the promises have expired, it starts a new ballot.
+// A candidate that was stopped between sending a Prepare and reading the promises must not use them: they
+// have expired.
 TEST_F(CandidateStateTest, IgnoresPromisesAfterTheBallotTimeout) {
   const Micros late = kStartedAt + options.ballot_timeout;
   for (const char* voter : {"a", "b", "c"}) Promised(late, voter);
@@ -43,8 +44,8 @@
   EXPECT_EQ(HeldUntil(140ms), 130ms + options.HolderValidity());
 }
 
-// A voter's grant began earlier when it answers an earlier proposal, and a member that is no voter grants
-// nothing.
+// An Accept of an earlier proposal belongs to a grant that started earlier, and a member that is not a voter
+// cannot grant. Counting either would extend the hold beyond the voters' grants.
 TEST_F(CandidateStateTest, RenewalCountsOnlyVotersAcceptsOfTheLatestProposal) {
   const Propose first = ReachProposal(130ms);
   Accepted(140ms, "a", first);
--- a/tests/lease/codec_test.cpp
+++ b/tests/lease/codec_test.cpp
@@ -1,4 +1,4 @@
-// The lease module's messages on the wire: their bytes, their way there and back, and what is rejected.
+// Tests of the wire format of the lease module's messages: exact bytes, round trips and rejected input.
 #include "lease/codec.hpp"
 
 #include <gtest/gtest.h>
@@ -34,7 +34,7 @@
 
 PurgeMessage MakePurgeMessage(PurgeMessageBody body) { return {"n1", std::move(body)}; }
 
-// The body of a message after its way over the wire, which must be of that kind.
+// Encodes and decodes a message. Returns its body, which must be of the type Body.
 template <class Body>
 Body RoundTrip(const Message& message) {
   const auto decoded = Decode(Encode(message), "n1");
@@ -47,8 +47,8 @@
   return std::get<Body>(std::get<PurgeMessage>(decoded.value()).body);
 }
 
-// Bytes recorded from the program before its messages became types of their own (version 1 of the wire):
-// nodes of both builds have to understand each other during an upgrade.
+// The bytes of version 1 of the wire format, recorded before each message had its own C++ type. Nodes of both
+// builds must understand each other during an upgrade.
 struct RecordedBytes {
   const char* name;
   std::function<std::string()> encode;
@@ -164,7 +164,7 @@
 
 using Code = DecodeError::Code;
 
-// The error of bytes that must be rejected.
+// Returns the error of decoding bytes that must be rejected.
 DecodeError ErrorOf(const std::string& bytes) {
   const auto decoded = Decode(bytes, "n1");
   if (decoded) {
@@ -186,7 +186,7 @@
   const Token too_high{ToNumber(kMaxToken) + 1};
   const DecodeError error = ErrorOf(Encode(MakeMessage(Reject{too_high, 9, "n2", 1'500ms})));
   EXPECT_EQ(error.code, Code::kBallotTooHigh);
-  EXPECT_EQ(error.detail, "ballot: 2^62 at most");
+  EXPECT_EQ(error.detail, "ballot: expected at most 2^62");
 }
 
 TEST(LeaseCodec, RejectsAnEmptyLeaseName) {
@@ -226,7 +226,7 @@
   }
 }
 
-// The id that each kind of purge message carries.
+// Returns the purge id of each kind of purge message.
 struct PurgeIdVisitor {
   std::string operator()(const HandOverPurge& body) const { return body.purge.id; }
   std::string operator()(const ApplyPurge& body) const { return body.purge.id; }
@@ -238,7 +238,7 @@
 
 std::string PurgeIdOf(const PurgeMessage& message) { return std::visit(PurgeIdVisitor{}, message.body); }
 
-// Whatever the bytes are, they are decoded into values in range or rejected with a reason.
+// Arbitrary bytes are either decoded into values in range or rejected with a reason.
 RC_GTEST_PROP(LeaseCodec, AnyBytesAreDecodedOrRejected, ()) {
   const auto bytes = *rc::gen::arbitrary<std::string>();
   const auto decoded = Decode(bytes, "n1");
--- a/tests/lease/history_test.cpp
+++ b/tests/lease/history_test.cpp
@@ -1,4 +1,4 @@
-// The checker of a lease's history: each invariant is violated once.
+// Tests of the history checker, with one violation of each invariant, and of the fence.
 #include "lease/history.hpp"
 
 #include <gtest/gtest.h>
@@ -74,7 +74,7 @@
   EXPECT_EQ(fence.Highest("health"), Token{4});
 }
 
-TEST(Fence, KeepsLeasesApart) {
+TEST(Fence, TracksEachLeaseSeparately) {
   Fence fence;
   EXPECT_TRUE(fence.Admit("health", Token{4}));
   EXPECT_TRUE(fence.Admit("purge", Token{3}));
--- a/tests/lease/lease_fixture.hpp
+++ b/tests/lease/lease_fixture.hpp
@@ -1,5 +1,5 @@
-// What the lease tests share: options with short spans, a simulated fleet in which every member is a
-// candidate, and the responses that voters send to a node under test.
+// Shared fixtures of the lease tests: options with short durations, a simulated fleet in which every member
+// is a candidate, and a single node to which the test sends the voters' responses.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
 
 namespace tinspan::lease {
 
-/// A lease of a second and ballots of an eighth of it; no voters and no lease names.
+/// A lease duration of 1 s and a ballot timeout of 1/8 s, without voters and lease names.
 inline LeaseOptions ShortLeaseOptions() {
   using namespace std::chrono_literals;
   LeaseOptions options;
@@ -25,7 +25,7 @@
   return options;
 }
 
-/// The same for a single node, with the lease kHealthLease and three voters.
+/// ShortLeaseOptions with the lease kHealthLease and three voters, for a single node.
 inline LeaseOptions ThreeVoterOptions() {
   LeaseOptions options = ShortLeaseOptions();
   options.voters = {"a", "b", "c"};
@@ -38,7 +38,7 @@
  public:
   static constexpr Micros kPublishInterval{200'000};
 
-  /// The first `clock_rates.size()` members have clocks of those rates.
+  /// `clock_rates` sets the clock rates of the first members; the others have exact clocks.
   CandidateFleet(int member_count, std::size_t voter_count, std::uint64_t seed = 1,
                  const std::vector<double>& clock_rates = {})
       : Fleet(ShortLeaseOptions(), voter_count, kPublishInterval, seed) {
@@ -49,7 +49,8 @@
   }
 };
 
-/// Runs until a member other than `excluded` holds the lease. Returns how long it took, or `limit`.
+/// Runs until a member other than `excluded` holds the lease. Returns the simulated time that this took, or
+/// `limit` if it did not happen within that time.
 inline Micros RunUntilHeld(sim::Fleet& fleet, Micros limit, int excluded = -1) {
   constexpr Micros kStep{10'000};
   for (Micros waited{0}; waited < limit; waited += kStep) {
@@ -60,7 +61,7 @@
   return limit;
 }
 
-/// Runs until a member holds the lease, which must take less than `limit`. Returns that member.
+/// Runs until a member holds the lease, and checks that this takes less than `limit`. Returns that member.
 inline int RunUntilFirstHolder(sim::Fleet& fleet, Micros limit) {
   EXPECT_LT(RunUntilHeld(fleet, 2 * limit), limit);
   return fleet.Holder().value();
@@ -71,18 +72,18 @@
   EXPECT_FALSE(violation) << *violation;
 }
 
-/// The body of the first message that the node sends now, which must be of that kind.
+/// Returns the body of the node's first queued message, which must be of the type Body. Drops the others.
 template <class Body>
 Body TakeFirst(LeaseNode& node) {
   return std::get<Body>(node.DrainMessages().at(0).message.body);
 }
 
-/// Hands the node a message about kHealthLease from `sender`.
+/// Delivers a message about kHealthLease from `sender` to the node.
 inline void Deliver(LeaseNode& node, Micros now, const std::string& sender, MessageBody body) {
   node.Receive(now, Message{kHealthLease, sender, std::move(body)});
 }
 
-/// A node of the member `self` that tries for kHealthLease and has started its first ballot.
+/// A node of the member `self` that is a candidate for kHealthLease and has started its first ballot.
 class CandidateNode : public testing::Test {
  protected:
   static constexpr Micros kStartedAt{125'000};
@@ -100,13 +101,13 @@
   void Accepted(Micros now, const std::string& voter, const Propose& propose) {
     Deliver(node, now, voter, Accept{propose.ballot, propose.request_id});
   }
-  /// Promises of a majority; the proposal that follows.
+  /// Delivers the promises of a majority. Returns the proposal that the node sends.
   Propose ReachProposal(Micros now) {
     Promised(now, "a");
     Promised(now, "b");
     return TakeFirst<Propose>(node);
   }
-  /// When the hold known at `now` ends.
+  /// When the hold in force at `now` ends.
   Micros HeldUntil(Micros now) const { return now + node.StatusOf(kHealthLease, now).remaining; }
 
   LeaseOptions options = ThreeVoterOptions();
--- a/tests/lease/lease_node_test.cpp
+++ b/tests/lease/lease_node_test.cpp
@@ -1,4 +1,4 @@
-// Lease nodes in a simulated fleet: each fault that the lease has to survive is played once.
+// Tests of lease nodes in a simulated fleet, one for each fault that leases must tolerate.
 #include "lease/lease_node.hpp"
 
 #include <gtest/gtest.h>
@@ -20,7 +20,7 @@
   }
 }
 
-// Pauses whoever holds, again and again, for longer than a lease.
+// Pauses the current holder for longer than a lease duration, `times` times.
 void PauseHolders(Fleet& fleet, int times) {
   for (int i = 0; i < times; ++i) {
     if (const auto holder = fleet.Holder()) fleet.Pause(*holder, fleet.Now() + 1'200ms);
@@ -42,7 +42,7 @@
   ExpectNoViolation(fleet);
 }
 
-// A record each 200 ms; each takes a write and a read.
+// One record is published every 200 ms, with one write and one read.
 TEST(LeaseNode, HolderPublishesAtItsInterval) {
   CandidateFleet fleet(5, 5);
   RunUntilFirstHolder(fleet, 5s);
@@ -51,9 +51,8 @@
   EXPECT_LE(fleet.StoreRequestCount(), 2 * fleet.RecordedHistory().AcceptedWrites() + 2);
 }
 
-// A voter that promised another candidate's ballot which came to nothing grants the holder all the same once
-// that promise has expired: the holder would otherwise live on a bare majority, and the voter would not know
-// who holds.
+// A voter that promised a ballot which then failed must grant the lease to the holder once that promise has
+// expired. Otherwise the holder depends on a bare majority, and that voter does not know who the holder is.
 TEST(LeaseNode, EveryVoterEventuallyGrantsTheHolder) {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
@@ -80,7 +79,7 @@
   ExpectNoViolation(fleet);
 }
 
-// A fleet whose first holder is paused for three seconds and has been succeeded by another member.
+// A fleet whose first holder is in a pause of three seconds, during which another member has taken over.
 class PausedHolderTest : public testing::Test {
  protected:
   PausedHolderTest() {
@@ -111,7 +110,7 @@
   ExpectNoViolation(fleet);
 }
 
-// The clock of one member is a tenth fast, then a tenth slow; another's is off in the opposite direction.
+// One member's clock runs 10 % fast, then 10 % slow, and another's is off in the opposite direction.
 TEST(LeaseNode, DriftingClocksNeverLetTwoMembersHold) {
   for (const double rate : {1.1, 0.9}) {
     CandidateFleet fleet(3, 3, 7, {rate, 2 - rate, 1.0});
@@ -125,15 +124,15 @@
 TEST(LeaseNode, ReleaseHandsTheLeaseOverAtOnce) {
   CandidateFleet fleet(5, 5);
   const int first = RunUntilFirstHolder(fleet, 5s);
-  fleet.RunFor(2s);  // the voters have rejected the other candidates, and remember them
+  fleet.RunFor(2s);  // so that the voters have rejected the other candidates and remember them
   EXPECT_EQ(fleet.Holder(), first);
   fleet.Leave(first);
   EXPECT_LT(RunUntilHeld(fleet, 5s, first), 100ms);
   ExpectNoViolation(fleet);
 }
 
-// A restarted voter is silent until what it may have granted has expired; the two others renew the lease
-// meanwhile.
+// A restarted voter stays silent until any lease that it may have granted has expired. Meanwhile the two
+// other voters renew the lease.
 TEST(LeaseNode, RestartedVoterIsSilentForALease) {
   CandidateFleet fleet(3, 3);
   const int holder = RunUntilFirstHolder(fleet, 5s);
@@ -150,8 +149,9 @@
   ExpectNoViolation(fleet);
 }
 
-// A token was granted through a voter that restarts, and only one other voter knows it; a candidate whose
-// clock is behind cannot reach that one. The restarted voter has to query it before it serves.
+// A voter restarts after granting a token that only one other voter knows, and a candidate whose clock is
+// behind cannot reach that other voter. Unless the restarted voter queries it before serving, the candidate
+// is granted a lower token.
 TEST(LeaseNode, RestartedVoterLearnsWhatItGranted) {
   Fleet fleet(ShortLeaseOptions(), 3, 200ms, 11);
   for (int i = 0; i < 3; ++i) fleet.Add();
@@ -160,7 +160,7 @@
   fleet.CutLink(ahead, 2);
   fleet.SetCandidacy(ahead, true);
   ASSERT_EQ(RunUntilFirstHolder(fleet, 6s), ahead);
-  fleet.CutStore(behind, true);  // it cannot learn the token from the store either
+  fleet.CutStore(behind, true);  // so that it cannot learn the token from the store
   fleet.Kill(ahead);
   fleet.Kill(0);
   fleet.Restart(0);
@@ -170,9 +170,9 @@
   ExpectNoViolation(fleet);
 }
 
-// A fleet whose first member, the only candidate, was an hour ahead and wrote; then all members lost their
-// state, and another one, with the right clock, is the candidate: the store's token is newer than any the
-// fleet knows.
+// The first member was the only candidate and wrote to the store with a clock one hour ahead. Then all
+// members lost their state, and another member with an exact clock became the candidate. The token in the
+// store is now higher than any token that the fleet knows.
 class LostStateTest : public testing::Test {
  protected:
   LostStateTest() {
@@ -191,13 +191,13 @@
   StoredRecord stored_before;
 };
 
-// The member that reads the store's token abandons its lease, and its next ballot is above that.
-TEST_F(LostStateTest, HolderRisesAboveTheStoresToken) {
+// A holder that reads a newer token in the store abandons its lease, and its next ballot is above that token.
+TEST_F(LostStateTest, NewHolderHasATokenAboveTheStores) {
   EXPECT_GT(fleet.Stored().token, stored_before.token);
   EXPECT_GT(fleet.Stored().number, stored_before.number);
 }
 
-TEST_F(LostStateTest, StoreOrdersWhatTheClocksCouldNot) {
+TEST_F(LostStateTest, StoreKeepsWritesInOrderDespiteALowerToken) {
   EXPECT_TRUE(fleet.RecordedHistory().FindTokenOrderViolation());
   EXPECT_FALSE(fleet.RecordedHistory().FindOverlap());
   EXPECT_FALSE(fleet.RecordedHistory().FindWriteViolation());
--- a/tests/lease/lease_schedules_test.cpp
+++ b/tests/lease/lease_schedules_test.cpp
@@ -1,5 +1,5 @@
-// Lease nodes under random schedules of faults, loss, reordering and drifting clocks, after which the history
-// of what was held and written must satisfy all invariants.
+// Property test of lease nodes under random schedules of faults, message loss, reordering and clock drift.
+// The history of holds and writes must satisfy all invariants after each schedule.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
@@ -26,7 +26,7 @@
     kHeal,
   };
   Kind kind = Kind::kKill;
-  int member = 0;  // negative: whoever holds
+  int member = 0;  // negative: the current holder
   int other = 0;
   std::uint32_t side = 0;
   int millis = 0;
@@ -39,7 +39,7 @@
 namespace rc {
 template <>
 struct Arbitrary<tinspan::lease::Fault> {
-  // More than half of the faults hit whoever holds.
+  // More than half of the faults affect the current holder.
   // NOLINTNEXTLINE(readability-identifier-naming): rapidcheck looks the function up by this name.
   static Gen<tinspan::lease::Fault> arbitrary() {
     using tinspan::lease::Fault;
@@ -60,9 +60,9 @@
 
 constexpr Micros kPublishInterval{200'000};
 
-// Either all wall clocks are right and any voters may lose their state, or they are wrong by up to an hour
-// and a majority keeps its state. (All state lost under wrong clocks is for the store to fence;
-// lease_node_test.cpp has it.)
+// Either all wall clocks are exact and any number of voters may lose their state, or the wall clocks are off
+// by up to an hour and a majority of voters keeps its state. If all state is lost while wall clocks are
+// wrong, only the store can fence earlier holders; LostStateTest in lease_node_test.cpp covers that.
 struct Scenario {
   std::size_t voter_count = 0;
   int member_count = 0;
@@ -117,7 +117,7 @@
   }
 
  private:
-  // Voters that do not have their state now.
+  // The number of voters that are not running or have not recovered their state.
   std::size_t VotersWithoutState() const {
     std::size_t count = 0;
     for (int i = 0; i < static_cast<int>(scenario_.voter_count); ++i) {
@@ -156,7 +156,8 @@
   Scenario scenario_;
 };
 
-// Exact clocks leave no slack that could hide a mistake; others run as far apart as the bound allows.
+// With a drift bound of 0 there is no safety margin that could hide a fault. With a bound of 0.1, clocks run
+// as far apart as the bound allows.
 LeaseOptions ArbitraryOptions(const Scenario& scenario) {
   LeaseOptions options = ShortLeaseOptions();
   options.max_clock_drift = *rc::gen::element(0.0, 0.1);
@@ -176,8 +177,9 @@
   for (int i = 0; i < scenario.member_count; ++i) fleet.SetCandidacy(i, true);
 }
 
-// Whatever the schedule: no two members hold at once, tokens rise, the writes that the store accepted are in
-// order and without gaps; and once all faults have ended a member holds and publishes again.
+// Under every schedule, no two members hold the lease at the same time, tokens increase, and the writes that
+// the store accepted are in order and without gaps. Once all faults have ended, a member holds the lease and
+// publishes again.
 RC_GTEST_PROP(Lease, EveryScheduleKeepsTheHistory, ()) {
   Scenario scenario;
   scenario.voter_count = *rc::gen::element<std::size_t>(3, 5);
--- a/tests/lease/observed_tokens_test.cpp
+++ b/tests/lease/observed_tokens_test.cpp
@@ -1,4 +1,4 @@
-// What claims in the fleet view tell a node about a lease.
+// Tests of how a node uses the claims in the fleet view.
 #include "lease/observed_tokens.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 
 using namespace std::chrono_literals;
 
-// A candidate whose own ballot, kWallMs, is above the claims: a ballot is no holder's token.
+// The candidate's own ballot, kWallMs, is higher than the claims. It must not be taken for a holder's token.
 class ClaimsTest : public CandidateNode {
  protected:
   void ObserveClaimOf(const std::string& member, Token token) {
@@ -32,8 +32,8 @@
   EXPECT_EQ(node.HighestClaimedToken("other"), kNoToken);
 }
 
-// The holder's claim is gone, and one under an earlier token is not believed.
-TEST_F(ClaimsTest, OlderClaimIsNotBelieved) {
+// When the holder's claim has disappeared, another member's claim with an older token must be ignored.
+TEST_F(ClaimsTest, ClaimWithAnOlderTokenIsIgnored) {
   ObserveClaimOf("b", Token{500});
   ObserveClaimOf("z", Token{400});
   EXPECT_TRUE(Status().holder.empty());
--- a/tests/lease/publisher_test.cpp
+++ b/tests/lease/publisher_test.cpp
@@ -1,4 +1,4 @@
-// The publisher's order of reads and writes, whatever the store answers.
+// Tests of the publisher's sequence of reads and writes for each kind of response from the store.
 #include "lease/publisher.hpp"
 
 #include <gtest/gtest.h>
@@ -13,14 +13,14 @@
 
 class PublisherTest : public testing::Test {
  protected:
-  // The write that follows a read of `stored`.
+  // Reads `stored`. Returns the write that follows.
   WriteRequest WriteAfterRead(Micros now, const StoredRecord& stored) {
     EXPECT_TRUE(std::holds_alternative<ReadRequest>(publisher.NextRequest(now, kHeld).value()));
     EXPECT_EQ(publisher.OnRead(now, stored), RecordCheck::kCurrent);
     return std::get<WriteRequest>(publisher.NextRequest(now, kHeld).value());
   }
 
-  // Fails the request that is due next. Returns the time until the one after it.
+  // Fails the next request. Returns the time until the request after it.
   Micros FailNextRequest() {
     const Micros now = publisher.NextDeadline();
     EXPECT_TRUE(publisher.NextRequest(now, kHeld));
@@ -60,8 +60,8 @@
   EXPECT_EQ(next.number, 13u);
 }
 
-// The write was not accepted, as the read shows: it is repeated at once under the number that follows the
-// store's.
+// If the read shows that the write was not accepted, the write is repeated immediately with the number that
+// follows the number in the store.
 TEST_F(PublisherTest, UnconfirmedWriteIsRepeated) {
   WriteAfterRead(1s, {40, Token{6}, 11});
   publisher.OnFailed(1s);
--- a/tests/lease/purge_distributor_test.cpp
+++ b/tests/lease/purge_distributor_test.cpp
@@ -1,4 +1,4 @@
-// The distribution of purges among members without a network: messages arrive at once unless they are lost.
+// Tests of the distribution of purges without a network. A message arrives immediately or is lost.
 #include "lease/purge_distributor.hpp"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
   return {"", group, object, Micros{0}};
 }
 
-// The members m0, m1, ... of a fleet.
+// A fleet with the members m0, m1, ...
 class DistributorFleet {
  public:
   explicit DistributorFleet(int count) : applied_(count) {
@@ -28,7 +28,7 @@
     }
   }
 
-  // Runs all members that are not down; `holder` holds the lease under `token`, or nobody does.
+  // Runs all members that are not down. `holder` holds the lease under `token`; kNoHolder: no member does.
   void RunFor(Micros span, int holder, Token token) {
     constexpr Micros kStep{50'000};
     holder_ = holder;
@@ -42,13 +42,13 @@
     }
   }
 
-  SubmitResult Submit(int origin, Purge purge) { return members_[origin].Submit(now_, std::move(purge)); }
+  SubmitResult Submit(int member, Purge purge) { return members_[member].Submit(now_, std::move(purge)); }
   void SetDown(std::set<int> members) { down_ = std::move(members); }
-  // Which messages are lost, by sender and recipient.
+  // Sets which messages are lost, by sender and recipient.
   void SetLoss(std::function<bool(int, int)> is_lost) { is_lost_ = std::move(is_lost); }
 
   PurgeDistributor& MemberAt(int member) { return members_[member]; }
-  // How many purges were to be applied at each member.
+  // The number of purges that each member was told to apply.
   std::vector<std::size_t> AppliedCounts() const {
     std::vector<std::size_t> counts;
     counts.reserve(applied_.size());
@@ -98,7 +98,7 @@
   EXPECT_EQ(fleet.AppliedCounts(), (Counts{0, 0, 0, 0, 0}));
 }
 
-// The origin itself has applied the purge before it submits it.
+// The submitter is not told to apply the purge, because it has applied it before submitting it.
 TEST(PurgeDistributor, PurgeIsAppliedOnceAtEachOtherMember) {
   DistributorFleet fleet(5);
   fleet.Submit(3, PurgeOf(7, 9));
@@ -107,7 +107,7 @@
   EXPECT_EQ(fleet.AppliedCounts(), (Counts{1, 1, 1, 0, 1}));
 }
 
-// An applied purge is handed over once a second and acknowledged; nothing else is sent.
+// A purge that every member has applied is only handed over and acknowledged, once per second.
 TEST(PurgeDistributor, AppliedPurgeCostsFewMessages) {
   DistributorFleet fleet(5);
   fleet.Submit(3, PurgeOf(7, 9));
@@ -126,7 +126,7 @@
   EXPECT_EQ(fleet.OpenCount(), 0u);
 }
 
-// The holder dies when it has reached one of the three other members; one of the rest is down until later.
+// The holder dies after it has reached one of three other members. One of the other two is down until later.
 TEST(PurgeDistributor, NextHolderCompletesADistribution) {
   DistributorFleet fleet(5);
   fleet.SetLoss([](int sender, int recipient) { return sender == 1 && recipient >= 3; });
@@ -142,7 +142,7 @@
   EXPECT_EQ(fleet.AppliedCounts(), (Counts{0, 1, 1, 1, 1}));
 }
 
-// A holder that was paused continues under its old token: it is rejected, and learns of the newer token.
+// A holder that continues with its old token after a pause must be rejected and told the newer token.
 TEST(PurgeDistributor, HolderWithAStaleTokenIsRejected) {
   DistributorFleet fleet(3);
   fleet.Submit(0, PurgeOf(7));
@@ -157,7 +157,7 @@
   EXPECT_EQ(fleet.AppliedCounts()[2], 2u);
 }
 
-// A token that is claimed in the fleet view is enough to reject whoever held before.
+// A member that has seen a token only as a claim in the fleet view must reject holders with older tokens.
 TEST(PurgeDistributor, ObservedTokenRejectsAnEarlierHolder) {
   DistributorFleet fleet(2);
   fleet.MemberAt(1).ObserveToken(Token{9});
@@ -168,24 +168,24 @@
 }
 
 TEST(PurgeDistributor, OwnPurgesAreBounded) {
-  PurgeDistributor origin("m0", 1, 60s);
+  PurgeDistributor submitter("m0", 1, 60s);
   std::size_t accepted = 0;
-  for (int i = 0; i < 1'000; ++i) accepted += origin.Submit(0s, PurgeOf(1)) == SubmitResult::kAccepted;
+  for (int i = 0; i < 1'000; ++i) accepted += submitter.Submit(0s, PurgeOf(1)) == SubmitResult::kAccepted;
   EXPECT_EQ(accepted, PurgeDistributor::kMaxOpenPurges);
 }
 
 TEST(PurgeDistributor, PurgesOfOthersAreBounded) {
   PurgeDistributor holder("m1", 1, 60s);
   for (int i = 0; i < 10'000; ++i) {
-    const std::string origin = "x" + std::to_string(i);
-    holder.Receive(0s, {origin, HandOverPurge{{origin + "/1", 1, std::nullopt, Micros{0}}}}, Token{4});
+    const std::string submitter = "x" + std::to_string(i);
+    holder.Receive(0s, {submitter, HandOverPurge{{submitter + "/1", 1, std::nullopt, Micros{0}}}}, Token{4});
     const Purge purge{"y/" + std::to_string(i), 1, std::nullopt, Micros{0}};
     holder.Receive(0s, {"x", ApplyPurge{Token{4}, purge}}, std::nullopt);
   }
   EXPECT_LE(holder.OpenCount(), PurgeDistributor::kMaxOpenPurges);
 }
 
-// A holder of as many purges as it takes, among 300 members that acknowledge each message at once.
+// A holder with the maximum number of open purges. All 300 members acknowledge each message immediately.
 class LargeFleetTest : public testing::Test {
  protected:
   LargeFleetTest() {
@@ -196,7 +196,7 @@
     }
   }
 
-  // Acknowledgements of a member that was sent nothing must not count.
+  // Also sends an acknowledgement from a member that was sent nothing, which must not count.
   void Acknowledge(Micros now, const OutboundPurgeMessage& outbound) {
     const PurgeApplied reply{Token{5}, std::get<ApplyPurge>(outbound.message.body).purge.id};
     holder.Receive(now, {"stranger", reply}, Token{5});
@@ -208,7 +208,7 @@
   std::vector<std::string> alive;
 };
 
-// No round sends more than its limit, and in the end each purge was sent once to each other member.
+// No round exceeds its message limit, and each purge is sent exactly once to each other member.
 TEST_F(LargeFleetTest, ManyPurgesAreDistributedInBursts) {
   std::size_t message_count = 0;
   std::size_t largest_round = 0;
--- a/tests/lease/voter_state_test.cpp
+++ b/tests/lease/voter_state_test.cpp
@@ -1,4 +1,4 @@
-// The voter of a lease by itself: what it promises, grants and rejects.
+// Tests of a single voter: what it promises, grants and rejects.
 #include "lease/voter_state.hpp"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 
 class VoterStateTest : public testing::Test {
  protected:
-  // A voter that serves since kServingAt: all others have replied that they are starting as well.
+  // The voter serves from kServingAt on, because all other voters have replied that they are starting too.
   VoterStateTest() {
     voter.Tick(context, kSilentUntil, kWallMs);
     const auto query = Reply<RecoveryQuery>();
@@ -23,7 +23,7 @@
     context.DrainMessages();
   }
 
-  // The body of the first message that was sent since the last call.
+  // Returns the body of the first message queued since the last call, which must be of the type Body.
   template <class Body>
   Body Reply() {
     return std::get<Body>(context.DrainMessages().at(0).message.body);
