--- a/src/front/platform/cache_protocol.cpp
+++ b/src/front/platform/cache_protocol.cpp
@@ -14,21 +14,21 @@
 
 constexpr std::string_view kLineEnd = "\r\n";
 constexpr std::size_t kMaxHeaderBytes = 4096;
-constexpr std::size_t kMaxBodyBytes = 512 << 10;                  // an object has 240,000 bytes at most
+constexpr std::size_t kMaxBodyBytes = 512 << 10;                  // objects have at most 240,000 bytes
 constexpr std::int64_t kMaxUnixMilliseconds = 4'000'000'000'000;  // the year 2096
 
-constexpr std::size_t kHeaderWords = 4;  // reference, status, fields, body length
+constexpr std::size_t kHeaderTokens = 4;  // reference, status, fields, body length
 
-constexpr std::array<std::pair<std::string_view, FillNote>, 4> kNotes{{{"local", FillNote::kHit},
-                                                                       {"pulled", FillNote::kFilled},
-                                                                       {"rode", FillNote::kJoined},
-                                                                       {"expired", FillNote::kStaleHit}}};
+constexpr std::array<std::pair<std::string_view, FillNote>, 4> kFillNotes{{{"local", FillNote::kHit},
+                                                                           {"pulled", FillNote::kFilled},
+                                                                           {"rode", FillNote::kJoined},
+                                                                           {"expired", FillNote::kStaleHit}}};
 
 struct Status {
   std::string_view text;
   Outcome outcome;
 };
-// What each status proves: BUSY, MISS and VOID never ran, ERR may have.
+// After BUSY, MISS or VOID the request is known not to have run; after ERR it may have run.
 constexpr std::string_view kNotModified = "SAME";
 constexpr std::array<Status, 6> kStatuses{{{"OK", Outcome::kServed},
                                            {kNotModified, Outcome::kServed},
@@ -37,16 +37,16 @@
                                            {"ERR", Outcome::kError},
                                            {"VOID", Outcome::kNotSent}}};
 
-std::string Milliseconds(Micros time) {
+std::string FormatMilliseconds(Micros time) {
   return std::to_string(std::max<std::int64_t>(1, time.count() / 1000));
 }
 
-void AddField(std::string& line, std::string_view name, std::string_view value) {
+void AppendField(std::string& line, std::string_view name, std::string_view value) {
   if (!value.empty()) line.append(",").append(name).append("=").append(value);
 }
 
-// The flags of an attempt, joined by plus signs.
-std::string Flags(const SendAttempt& action) {
+// Returns the names of the flags that are set for the attempt, joined by plus signs.
+std::string FormatFlags(const SendAttempt& action) {
   std::string flags;
   for (const auto& [is_set, name] : {std::pair{action.join_fill, "share"},
                                      {action.source_cached_only, "peek"},
@@ -57,27 +57,28 @@
   return flags;
 }
 
-tl::unexpected<FrameError> Fail(FrameError::Kind kind, std::size_t bytes_needed = 0) {
+tl::unexpected<FrameError> MakeFrameError(FrameError::Kind kind, std::size_t bytes_needed = 0) {
   return tl::unexpected(FrameError{kind, bytes_needed});
 }
 
-// The first three words of a header end at a space; the last one is the rest.
-std::optional<std::array<std::string_view, kHeaderWords>> SplitHeader(std::string_view header) {
-  std::array<std::string_view, kHeaderWords> words;
-  for (std::size_t index = 0; index + 1 < kHeaderWords; ++index) {
+// Splits a header at its first three spaces; the last token is the rest of the line. Returns nullopt if there
+// are fewer spaces.
+std::optional<std::array<std::string_view, kHeaderTokens>> SplitHeader(std::string_view header) {
+  std::array<std::string_view, kHeaderTokens> tokens;
+  for (std::size_t index = 0; index + 1 < kHeaderTokens; ++index) {
     const std::size_t space = header.find(' ');
     if (space == std::string_view::npos) return std::nullopt;
-    words[index] = header.substr(0, space);
+    tokens[index] = header.substr(0, space);
     header.remove_prefix(space + 1);
   }
-  words.back() = header;
-  return words;
+  tokens.back() = header;
+  return tokens;
 }
 
-FillNote ParseNote(std::string_view text) {
-  const auto* const note =
-      std::find_if(kNotes.begin(), kNotes.end(), [text](const auto& entry) { return entry.first == text; });
-  return note == kNotes.end() ? FillNote::kNone : note->second;
+FillNote ParseFillNote(std::string_view text) {
+  const auto* const note = std::find_if(kFillNotes.begin(), kFillNotes.end(),
+                                        [text](const auto& entry) { return entry.first == text; });
+  return note == kFillNotes.end() ? FillNote::kNone : note->second;
 }
 
 std::optional<UnixTime> ParseUnixMilliseconds(std::string_view text) {
@@ -92,15 +93,15 @@
                               std::string_view fill_source) {
   const SendAttempt& action = attempt.action;
   std::string line = "REQ " + request.reference + " queue=" + request.class_name;
-  AddField(line, "path", request.object);
-  AddField(line, "blk", request.part);
-  AddField(line, "budget", Milliseconds(action.expires_at - now));
-  AddField(line, "uniq", request.idempotency_key);
-  AddField(line, "miss", fill_source);
-  if (action.cache_rank > 0) AddField(line, "prio", std::to_string(action.cache_rank));
-  if (action.max_age > Micros{0}) AddField(line, "within", Milliseconds(action.max_age));
-  AddField(line, "f", Flags(action));
-  AddField(line, "mine", request.cached_copy);
+  AppendField(line, "path", request.object);
+  AppendField(line, "blk", request.part);
+  AppendField(line, "budget", FormatMilliseconds(action.expires_at - now));
+  AppendField(line, "uniq", request.idempotency_key);
+  AppendField(line, "miss", fill_source);
+  if (action.cache_rank > 0) AppendField(line, "prio", std::to_string(action.cache_rank));
+  if (action.max_age > Micros{0}) AppendField(line, "within", FormatMilliseconds(action.max_age));
+  AppendField(line, "f", FormatFlags(action));
+  AppendField(line, "mine", request.cached_copy);
   line.append(" ").append(std::to_string(request.body.size())).append(kLineEnd);
   return line;
 }
@@ -112,20 +113,20 @@
 tl::expected<ResponseFrame, FrameError> ReadResponseFrame(std::string_view unread) {
   using Kind = FrameError::Kind;
   if (unread.starts_with(kLineEnd)) return ResponseFrame{.is_empty_line = true, .size = kLineEnd.size()};
-  if (unread == "\r") return Fail(Kind::kIncomplete);
+  if (unread == "\r") return MakeFrameError(Kind::kIncomplete);
   const std::size_t header_size = unread.find(kLineEnd);
   if (header_size == std::string_view::npos)
-    return Fail(unread.size() > kMaxHeaderBytes ? Kind::kLineTooLong : Kind::kIncomplete);
-  const auto words = SplitHeader(unread.substr(0, header_size));
-  if (!words) return Fail(Kind::kMissingWord);
-  const auto& [reference, status, fields, length_text] = *words;
+    return MakeFrameError(unread.size() > kMaxHeaderBytes ? Kind::kLineTooLong : Kind::kIncomplete);
+  const auto tokens = SplitHeader(unread.substr(0, header_size));
+  if (!tokens) return MakeFrameError(Kind::kMissingToken);
+  const auto& [reference, status, fields, length_text] = *tokens;
   const auto length = ReadNumber<std::uint32_t>(length_text);
-  if (!length || *length > kMaxBodyBytes) return Fail(Kind::kInvalidLength);
+  if (!length || *length > kMaxBodyBytes) return MakeFrameError(Kind::kInvalidLength);
   const std::size_t body_start = header_size + kLineEnd.size();
   const std::size_t size = body_start + *length + kLineEnd.size();
-  if (unread.size() < size) return Fail(Kind::kIncomplete, size);
+  if (unread.size() < size) return MakeFrameError(Kind::kIncomplete, size);
   if (unread.substr(size - kLineEnd.size(), kLineEnd.size()) != kLineEnd)
-    return Fail(Kind::kMissingTerminator);
+    return MakeFrameError(Kind::kMissingTerminator);
   return ResponseFrame{.reference = reference,
                        .status = status,
                        .fields = fields,
@@ -141,20 +142,21 @@
   response.outcome = status->outcome;
   response.is_not_modified = status->text == kNotModified;
   std::string_view load_report;
-  const FieldList fields = ForEachField(frame.fields, [&](std::string_view name, std::string_view value) {
-    if (name == "detail") {
-      const FillNote note = ParseNote(value);
-      if (note != FillNote::kNone) response.note = note;
-    } else if (name == "issued") {
-      const auto issued_at = ParseUnixMilliseconds(value);
-      if (issued_at) response.issued_at = net::ToProgramTime(*issued_at);
-    } else if (name == "use") {
-      load_report = value;
-    } else if (name == "entity") {
-      response.entity = value;
-    }
-  });
-  if (fields == FieldList::kMalformed) return tl::unexpected(ResponseError::kMalformedFields);
+  const FieldListStatus fields_status =
+      ForEachField(frame.fields, [&](std::string_view name, std::string_view value) {
+        if (name == "detail") {
+          const FillNote note = ParseFillNote(value);
+          if (note != FillNote::kNone) response.note = note;
+        } else if (name == "issued") {
+          const auto issued_at = ParseUnixMilliseconds(value);
+          if (issued_at) response.issued_at = net::ToProgramTime(*issued_at);
+        } else if (name == "use") {
+          load_report = value;
+        } else if (name == "entity") {
+          response.entity = value;
+        }
+      });
+  if (fields_status == FieldListStatus::kMalformed) return tl::unexpected(ResponseError::kMalformedFields);
   try {
     response.load = ReadLoad(load_report, ';');
   } catch (const tinspan::Malformed&) {
--- a/src/front/platform/client_end.hpp
+++ b/src/front/platform/client_end.hpp
@@ -1,4 +1,4 @@
-// Why clients' connections ended, for the log and the statistics.
+// Reasons for which client connections are closed, as reported in the log and the statistics.
 #pragma once
 
 #include <array>
@@ -8,25 +8,27 @@
 
 namespace tinspan::platform {
 
-enum class ClientEnd : std::uint8_t {
-  kPeer,         // the client closed it, or it broke
-  kIdle,         // no request for too long
-  kEvicted,      // idle, and its place was needed
-  kDrained,      // standby or shutdown, at rest
-  kDrainTimeUp,  // standby or shutdown, though its client was still writing
-  kMalformed,    // what came cannot be read
-  kStalled,      // it takes no responses
-  kTurnedAway,   // no place for it
+enum class ClientCloseReason : std::uint8_t {
+  kPeer,           // the client closed the connection, or the connection failed
+  kIdle,           // no request within the idle timeout
+  kEvicted,        // closed while idle to make room for a new connection
+  kDrained,        // closed by standby or shutdown with nothing open on it
+  kDrainDeadline,  // closed by standby or shutdown at the deadline, while the client was still writing
+  kMalformed,      // the client sent malformed input
+  kStalled,        // the client does not read its responses
+  kRejected,       // not accepted: the connection limit is reached and no connection is idle
   kCount
 };
 
-constexpr std::string_view Name(ClientEnd reason) {
-  constexpr std::array<std::string_view, static_cast<std::size_t>(ClientEnd::kCount)> kNames{
+/// Returns the name of a reason as it is logged and as it stands in the counters
+/// `clients_ended_<name>_total`.
+constexpr std::string_view Name(ClientCloseReason reason) {
+  constexpr std::array<std::string_view, static_cast<std::size_t>(ClientCloseReason::kCount)> kNames{
       "peer", "idle", "evicted", "drained", "drain_time_up", "malformed", "stalled", "turned_away"};
   return kNames[static_cast<std::size_t>(reason)];
 }
 
-/// How many connections ended for each reason.
-using ClientEndCounts = std::array<std::uint64_t, static_cast<std::size_t>(ClientEnd::kCount)>;
+/// Number of connections closed, by reason.
+using ClientCloseCounts = std::array<std::uint64_t, static_cast<std::size_t>(ClientCloseReason::kCount)>;
 
 }  // namespace tinspan::platform
--- a/src/front/platform/client_protocol.cpp
+++ b/src/front/platform/client_protocol.cpp
@@ -11,14 +11,14 @@
 namespace tinspan::platform {
 namespace {
 
-constexpr std::size_t kCallWords = 4;
-constexpr std::size_t kCallWordsWithBody = 5;
-constexpr std::size_t kIdDigits = 16;  // of a reference and of an object's id
+constexpr std::size_t kCallElements = 4;
+constexpr std::size_t kCallElementsWithBody = 5;
+constexpr std::size_t kIdDigits = 16;  // of a reference and of an object id
 constexpr int kHexadecimal = 16;
-constexpr double kMaxSizeKb = 1e6;  // of a part; far beyond what is served at all
+constexpr double kMaxSizeKb = 1e6;  // of a part; far above the largest object that is served
 constexpr double kTimeLeftLimitMilliseconds = 1e9;
 constexpr std::uint32_t kMaxGroup = 255;
-constexpr std::string_view kForbiddenCharacters = " \r\n,=";  // in a word of a server's line
+constexpr std::string_view kForbiddenCharacters = " \r\n,=";  // separators of the cache protocol
 
 bool IsId(std::string_view text) {
   return text.size() == kIdDigits && std::all_of(text.begin(), text.end(), [](char digit) {
@@ -27,7 +27,7 @@
          });
 }
 
-// Takes the fields of a call one by one and keeps the first error.
+// Decodes the fields of a call into `call` and keeps the first error. Fields after an error are skipped.
 class FieldReader {
  public:
   explicit FieldReader(Call& call) : call_(call) {}
@@ -95,10 +95,11 @@
   bool has_time_left_ = false;
 };
 
-// All values that go on to a server as a word of its line must stay one word.
+// These values are copied into the request line to a server. A separator in one of them would change the
+// meaning of that line.
 bool HasForbiddenCharacter(const PendingRequest& request) {
-  const auto is_forbidden = [](const std::string& word) {
-    return word.find_first_of(kForbiddenCharacters) != std::string::npos;
+  const auto is_forbidden = [](const std::string& value) {
+    return value.find_first_of(kForbiddenCharacters) != std::string::npos;
   };
   return is_forbidden(request.class_name) || is_forbidden(request.object) || is_forbidden(request.part) ||
          is_forbidden(request.idempotency_key) || is_forbidden(request.cached_copy);
@@ -106,24 +107,24 @@
 
 std::optional<CallError> ReadFields(std::string_view fields, Call& call) {
   FieldReader reader(call);
-  const FieldList list = ForEachField(
+  const FieldListStatus status = ForEachField(
       fields, [&reader](std::string_view name, std::string_view value) { reader.Read(name, value); });
-  if (list == FieldList::kMalformed) return CallError::kMalformedFields;
+  if (status == FieldListStatus::kMalformed) return CallError::kMalformedFields;
   return reader.Error();
 }
 
 }  // namespace
 
 tl::expected<Call, CallError> ParseCall(const RespMessage& message, const Names& classes) {
-  if (message.count < kCallWords || message.count > kCallWordsWithBody)
-    return tl::unexpected(CallError::kWrongWordCount);
-  const std::string_view tag = message.words[1];
+  if (message.count < kCallElements || message.count > kCallElementsWithBody)
+    return tl::unexpected(CallError::kWrongElementCount);
+  const std::string_view tag = message.elements[1];
   if (!ReadNumber<std::uint64_t>(tag)) return tl::unexpected(CallError::kInvalidTag);
   Call call;
   call.request.tag = tag;
-  call.request.class_name = message.words[2];
-  if (message.count == kCallWordsWithBody) call.request.body = message.words[4];
-  if (const auto error = ReadFields(message.words[3], call)) return tl::unexpected(*error);
+  call.request.class_name = message.elements[2];
+  if (message.count == kCallElementsWithBody) call.request.body = message.elements[4];
+  if (const auto error = ReadFields(message.elements[3], call)) return tl::unexpected(*error);
   if (!IsId(call.request.reference)) return tl::unexpected(CallError::kInvalidReference);
   if (HasForbiddenCharacter(call.request)) return tl::unexpected(CallError::kForbiddenCharacter);
   if (!call.request.object.empty()) {
--- a/src/front/platform/client_protocol.hpp
+++ b/src/front/platform/client_protocol.hpp
@@ -1,4 +1,4 @@
-// The clients' remote procedure calls, without I/O: what a call asks for, and how a response is written.
+// The clients' remote procedure calls: decoding of calls and encoding of responses, without I/O.
 #pragma once
 
 #include <cstddef>
@@ -13,10 +13,10 @@
 
 namespace tinspan::platform {
 
-/// Longest value of a field, in bytes; longer tags are cut.
+/// Maximum length of a field value, in bytes. Longer tags are truncated to it.
 constexpr std::size_t kMaxFieldBytes = 256;
 
-/// A valid call. Neither part has the numbers of its connection and request yet.
+/// A valid call. The caller sets the connection number in `request` and the request id in `received`.
 struct Call {
   PendingRequest request;
   core::RequestReceived received;
@@ -24,27 +24,28 @@
 
 /// Why a call is rejected.
 enum class CallError {
-  kWrongWordCount,      // a call has four words, or five with a body
-  kInvalidTag,          // no number
-  kMalformedFields,     // a field without a name
-  kFieldTooLong,        // more than kMaxFieldBytes
-  kInvalidTimeLeft,     // no number of milliseconds
+  kWrongElementCount,   // a call has four elements, or five with a body
+  kInvalidTag,          // not a number
+  kMalformedFields,     // a field without a name or without `=`
+  kFieldTooLong,        // a value of more than kMaxFieldBytes
+  kInvalidTimeLeft,     // not a number of milliseconds in range
   kMissingTimeLeft,     // a call must say how long its client waits
-  kInvalidPart,         // no number
-  kInvalidGroup,        // no number up to 255
-  kInvalidSize,         // no number of KB that an object may have
+  kInvalidPart,         // not a number
+  kInvalidGroup,        // not a number from 0 to 255
+  kInvalidSize,         // not a number of KB in the range of object sizes
   kInvalidReference,    // not 16 hex digits
   kInvalidObject,       // not 16 hex digits
-  kForbiddenCharacter,  // a value that would not stay one word on a server's line
+  kForbiddenCharacter,  // a value contains a separator of the cache protocol
   kUnknownClass,        // not in the settings
-  kTooManyRequests,     // in flight on the connection
+  kTooManyRequests,     // the connection has the maximum number of requests in flight
   kDuplicate            // the tag or the reference is in use
 };
 
-/// Decodes `RPC.CALL <tag> <class> <fields> [<body>]`. `classes` are the names of the classes by position.
+/// Decodes `RPC.CALL <tag> <class> <fields> [<body>]`. `classes` holds the class names; a name's last
+/// position is its ClassId. Unknown fields are ignored.
 tl::expected<Call, CallError> ParseCall(const RespMessage& message, const Names& classes);
 
-/// What is written in front of a response's body; CR LF follows the body.
+/// Returns the part of a response that precedes the body. The caller writes CR LF after the body.
 std::string EncodeResponseHead(std::string_view tag, std::string_view status, std::string_view fields,
                                std::size_t body_size);
 
--- a/src/front/platform/downstream_client.cpp
+++ b/src/front/platform/downstream_client.cpp
@@ -9,13 +9,13 @@
   connection->ScheduleRead();
 }
 
-void DownstreamClient::StartProgress(Micros now) {
+void DownstreamClient::ResetWriteProgress(Micros now) {
   last_progress_at = now;
   last_bytes_sent = connection->BytesSent();
 }
 
-void DownstreamClient::UpdateProgress(Micros now) {
-  if (connection->BytesSent() != last_bytes_sent) StartProgress(now);
+void DownstreamClient::UpdateWriteProgress(Micros now) {
+  if (connection->BytesSent() != last_bytes_sent) ResetWriteProgress(now);
 }
 
 core::ConnectionActivity DownstreamClient::Activity() const {
--- a/src/front/platform/downstream_client.hpp
+++ b/src/front/platform/downstream_client.hpp
@@ -1,4 +1,4 @@
-// One client's connection to the platform's front.
+// State of one client connection of the platform front.
 #pragma once
 
 #include <cstddef>
@@ -14,28 +14,29 @@
 
 namespace tinspan::platform {
 
-/// A client's connection, what is in flight on it, and how far its input and output have got.
+/// A client connection with its requests in flight and the progress of its input and output.
 struct DownstreamClient {
   std::unique_ptr<net::Connection> connection;
   std::unordered_map<std::string, RequestId> requests;  // in flight, by tag
-  std::size_t bytes_handled = 0;                   // at the front of Unread(), consumed at the round's end
-  std::size_t bytes_scanned = 0;                   // of Unread(), searched for cancellations
-  std::unordered_set<std::string> cancelled_tags;  // found by that search: their calls are yet to come
+  std::size_t bytes_handled = 0;  // prefix of Unread() that was handled; consumed at the end of the round
+  std::size_t bytes_scanned = 0;  // prefix of Unread() that was scanned for cancellations
+  std::unordered_set<std::string> cancelled_tags;  // found by that scan; the calls are still unhandled
   std::uint64_t last_bytes_sent = 0;
-  Micros last_progress_at{0};        // when last_bytes_sent changed
-  int looks_past_close = 0;          // of a drain (core/drain.hpp)
-  bool has_response = false;         // some response was written to it
-  bool is_intake_paused = false;     // no new request is taken from it
-  bool is_ended = false;             // by either side; it may still linger
-  bool has_partial_message = false;  // a message after a response has begun to arrive
+  Micros last_progress_at{0};        // when last_bytes_sent last changed
+  int looks_past_close = 0;          // drain checks since close_by (core/drain.hpp)
+  bool has_response = false;         // at least one response has been written
+  bool is_intake_paused = false;     // no new request is accepted
+  bool is_ended = false;             // either side has ended the connection; it may still linger
+  bool has_partial_message = false;  // a further message after a response has arrived in part
 
-  /// While paused no new request is taken; cancellations are. Reading is scheduled when the pause ends.
+  /// While paused, cancellations are handled but no new request is accepted. Reading is scheduled when the
+  /// pause ends.
   void SetIntakePaused(bool paused);
-  /// Begins to watch whether the client takes its responses.
-  void StartProgress(Micros now);
-  /// Looks whether it has taken some since the last look.
-  void UpdateProgress(Micros now);
-  /// What a drain has to know of it.
+  /// Starts measuring how long the client has read none of its responses.
+  void ResetWriteProgress(Micros now);
+  /// Updates last_progress_at if the socket has taken bytes since the last call.
+  void UpdateWriteProgress(Micros now);
+  /// Returns what core::DecideEnd needs to know about this connection.
   core::ConnectionActivity Activity() const;
 };
 
--- a/src/front/platform/downstream_connections.cpp
+++ b/src/front/platform/downstream_connections.cpp
@@ -10,31 +10,32 @@
 namespace tinspan::platform {
 namespace {
 
-constexpr std::size_t kMaxMessageBytes = 64 << 10;  // a write brings 48,000 bytes at most
+constexpr std::size_t kMaxMessageBytes = 64 << 10;  // a write request has a body of at most 48,000 bytes
 constexpr std::size_t kMaxRequestsPerClient = 32;   // in flight
-// A client that sends hundreds at once waits for the others in between.
+// Messages handled per client and round, so that a client that sends hundreds at once does not delay others.
 constexpr std::size_t kMaxMessagesPerRound = 32;
-// Responses that a client may leave unread: more than 32 of the largest. Nothing more is read from one that
-// has left so many, nor from any such client once all together hold a quarter of the memory.
+// The write queue of a client holds more than 32 responses of the largest size. Intake is paused for a client
+// with a backlog above kMaxClientBacklog, and for every client with a backlog once all backlogs together
+// exceed a quarter of the memory limit.
 constexpr net::Connection::Limits kLimits{
     .max_read_bytes = kMaxMessageBytes, .max_write_bytes = 9 << 20, .close_on_peer_shutdown = true};
 constexpr std::size_t kMaxClientBacklog = 8 << 20;
-// A client that takes nothing of its responses for so long is closed; the second one holds while what is
-// unread keeps all servers' responses waiting, and at the end of a drain.
+// A client that reads none of its responses for this long is closed. The second timeout applies while the
+// total backlog blocks reading from the servers, and after the answer_by time of a drain.
 constexpr Micros kWriteStallTimeout{10'000'000};
 constexpr Micros kWriteStallTimeoutUnderPressure{500'000};
-// Clients close connections that have been idle for 4 s. One that keeps its own open longer sends no more
-// requests. Clients without a first request are to be closed within 3 s.
+// Clients close their connections after 4 s of idleness, so no more requests follow on one that is idle for
+// longer. A connection without a first request has to be closed within 3 s.
 constexpr Micros kIdleTimeout{6'000'000};
 constexpr Micros kFirstRequestTimeout{2'400'000};
-// How long input of a client is read and dropped after our side was shut down. A request that crosses the
-// shutdown comes within 50 ms and is sent again; then the client closes.
-constexpr Micros kLingerTime{300'000};
+// How long a client's input is read and discarded after our side was shut down. A request that crosses the
+// shutdown arrives within 50 ms; the client sends it again and closes this connection.
+constexpr Micros kLingerTimeout{300'000};
 constexpr std::size_t kMaxEvictionCandidates = 8;
 constexpr Micros kIdleCheckMargin{1000};
 
-// Clients hold a third of the descriptors at most; misbehaving ones hold what they get. Partial messages of
-// all may take a quarter of the memory.
+// Bounds the descriptors that clients can occupy, since misbehaving clients keep their connections open.
+// Partial messages of all clients together may take a quarter of the memory limit.
 net::IdleConnectionLimits IdleLimits(const config::Platform& config) {
   const std::size_t memory_bytes = config.limits.memory_mb << 20;
   return {.max_connections = std::min(config.limits.ClientSockets(), memory_bytes / 4 / kMaxMessageBytes),
@@ -58,9 +59,10 @@
 
 void DownstreamConnections::Accept(net::Fd fd) {
   if (idle_connections_.IsFull() && !EvictIdleClient()) {
-    ++end_counts_[static_cast<std::size_t>(ClientEnd::kTurnedAway)];
+    ++close_counts_[static_cast<std::size_t>(ClientCloseReason::kRejected)];
     log::Warn("client.turned_away", {{"connections", clients_.size()}},
-              "client rejected: {} connections, none of them idle", clients_.size());
+              "client connection rejected: {} connections are open and none of them is idle",
+              clients_.size());
     return;
   }
   const std::uint64_t id = ++last_client_id_;
@@ -71,17 +73,18 @@
   idle_connections_.OnAccepted(id, net::Now());
 }
 
-// Makes place for a new client. Clients whose request has just arrived are passed over. False: none is idle.
+// Makes room for a new client by closing an idle one. Clients with unread input are skipped, since a request
+// has just arrived. Returns false if no client could be closed.
 bool DownstreamConnections::EvictIdleClient() {
-  std::vector<std::uint64_t> passed_over;
+  std::vector<std::uint64_t> skipped;
   bool is_evicted = false;
-  while (!is_evicted && passed_over.size() < kMaxEvictionCandidates) {
+  while (!is_evicted && skipped.size() < kMaxEvictionCandidates) {
     const auto candidate = idle_connections_.EvictCandidate(net::Now());
     if (!candidate) break;
-    is_evicted = LingerUnlessInputPending(clients_.at(*candidate), net::Now(), ClientEnd::kEvicted);
-    if (!is_evicted) passed_over.push_back(*candidate);
+    is_evicted = LingerUnlessInputPending(clients_.at(*candidate), net::Now(), ClientCloseReason::kEvicted);
+    if (!is_evicted) skipped.push_back(*candidate);
   }
-  for (const std::uint64_t id : passed_over) TrackIdle(clients_.at(id));
+  for (const std::uint64_t id : skipped) TrackIdle(clients_.at(id));
   return is_evicted;
 }
 
@@ -90,7 +93,7 @@
   active_in_round_.insert(connection.id);
   if (client.is_intake_paused) {
     ScanForCancellations(client);
-    // One round's input is read ahead; the rest waits in the socket.
+    // At most one message of maximum size is read ahead; the rest stays in the socket.
     if (connection.Unread().size() >= kMaxMessageBytes) connection.SetReadPaused(true);
     return;
   }
@@ -102,28 +105,28 @@
       return connection.ScheduleRead();
     }
     const auto message = ParseResp(unread, kMaxMessageBytes);
-    if (!message) return HandleUnparsed(client, message.error());
+    if (!message) return HandleParseError(client, message.error());
     HandleMessage(client, *message);
     client.bytes_handled += message->size;
   }
 }
 
-void DownstreamConnections::HandleUnparsed(Client& client, const RespError& error) {
+void DownstreamConnections::HandleParseError(Client& client, const RespError& error) {
   net::Connection& connection = *client.connection;
   if (error.kind == RespError::Kind::kMalformed) {
     log::Debug("client.unreadable", {{"client", connection.id}},
-               "client {}: malformed input, connection closed", connection.id);
-    return Linger(client, net::Now(), ClientEnd::kMalformed);
+               "client {}: malformed RESP message, connection closed", connection.id);
+    return Linger(client, net::Now(), ClientCloseReason::kMalformed);
   }
   connection.ExpectMessage(client.bytes_handled + error.bytes_needed);
-  // An idle client that begins to write is given a new client's time for the complete message.
+  // An idle client that starts a message gets the same time to complete it as a new client.
   const bool is_reused = client.requests.empty() && connection.BytesQueued() > 0;
   if (is_reused && !std::exchange(client.has_partial_message, true))
     idle_connections_.OnAccepted(connection.id, net::Now());
 }
 
-// Finds what a client has cancelled further on in its input, while other messages are in front of it or no
-// new request is taken from the client: no attempt may start for it meanwhile.
+// Scans the unhandled input for cancellations. Messages before them may be left for a later round, or the
+// intake may be paused, but no attempt may start for a request that is already cancelled.
 void DownstreamConnections::ScanForCancellations(Client& client) {
   const std::string_view unread = client.connection->Unread();
   for (std::size_t position = std::max(client.bytes_scanned, client.bytes_handled);
@@ -132,8 +135,8 @@
     if (!message) break;
     position += message->size;
     client.bytes_scanned = position;
-    if (message->words[0] != "RPC.CANCEL" || message->count < 2) continue;
-    std::string tag(message->words[1].substr(0, kMaxFieldBytes));
+    if (message->elements[0] != "RPC.CANCEL" || message->count < 2) continue;
+    std::string tag(message->elements[1].substr(0, kMaxFieldBytes));
     if (client.requests.contains(tag)) {
       Cancel(client, tag);
     } else {
@@ -142,11 +145,12 @@
   }
 }
 
-// A message whose frame is complete but that is invalid gets a response of its own: what else is in flight on
-// the connection has nothing to do with it.
+// A complete but invalid message gets an error response and the connection stays open, so that other requests
+// in flight on it are not affected.
 void DownstreamConnections::HandleMessage(Client& client, const RespMessage& message) {
-  const std::string_view verb = message.words[0];
-  const std::string tag(message.count > 1 ? message.words[1].substr(0, kMaxFieldBytes) : std::string_view());
+  const std::string_view verb = message.elements[0];
+  const std::string tag(message.count > 1 ? message.elements[1].substr(0, kMaxFieldBytes)
+                                          : std::string_view());
   if (verb == "RPC.CANCEL") {
     client.cancelled_tags.erase(tag);
     Cancel(client, tag);
@@ -154,16 +158,16 @@
     Write(client, tag, {.status = drain_ ? "closing" : "healthy"});
   } else if (verb != "RPC.CALL") {
     RejectCall(client, tag);
-  } else if (!client.cancelled_tags.contains(tag)) {  // else no response is owed (ScanForCancellations)
+  } else if (!client.cancelled_tags.contains(tag)) {  // else already cancelled: no response is expected
     if (!StartRequest(client, message)) RejectCall(client, tag);
   }
   if (!client.connection->IsClosed()) TrackIdle(client);
 }
 
 void DownstreamConnections::RejectCall(Client& client, const std::string& tag) {
-  log::Debug("client.unusable", {{"client", client.connection->id}}, "client {}: an invalid request",
-             client.connection->id);
-  Cancel(client, tag);  // of two requests with one tag the responses could not be told apart
+  log::Debug("client.unusable", {{"client", client.connection->id}},
+             "client {}: invalid request, responding with an error", client.connection->id);
+  Cancel(client, tag);  // responses of two requests with the same tag could not be told apart
   Write(client, tag, {.status = "error"});
 }
 
@@ -173,14 +177,14 @@
   if (!client.requests.empty()) return idle_connections_.MarkActive(connection.id);
   if (connection.BytesQueued() > 0) {
     idle_connections_.MarkIdle(connection.id, net::Now());
-  } else {  // it has cancelled all its requests and got no response yet
+  } else {  // the client has cancelled all its requests before their responses
     idle_connections_.OnAccepted(connection.id, connection.OpenedAt());
   }
 }
 
 void DownstreamConnections::Cancel(Client& client, const std::string& tag) {
   const auto found = client.requests.find(tag);
-  if (found == client.requests.end()) return;  // it crossed our response
+  if (found == client.requests.end()) return;  // the cancellation crossed the response
   events_.emplace_back(core::ClientDisconnected{found->second});
   requests_.Remove(found->second);
   client.requests.erase(found);
@@ -191,7 +195,8 @@
   if (client.requests.size() >= kMaxRequestsPerClient) return tl::unexpected(CallError::kTooManyRequests);
   auto call = ParseCall(message, classes_);
   if (!call) return tl::unexpected(call.error());
-  // Servers tell responses apart by the reference: the response of one request could go to the other.
+  // Responses are matched by reference towards servers and by tag towards the client. With a duplicate, the
+  // response of one request could go to the other.
   if (requests_.HasReference(call->request.reference) || client.requests.contains(call->request.tag))
     return tl::unexpected(CallError::kDuplicate);
   call->request.connection = client.connection->id;
@@ -199,7 +204,8 @@
   const auto number = static_cast<std::uint64_t>(call->received.id);
   log::Debug("request.received",
              {{"request", number}, {"client", client.connection->id}, {"ref", call->request.reference}},
-             "request {} ({}) from client {}", number, call->request.reference, client.connection->id);
+             "request {} (reference {}) received from client {}", number, call->request.reference,
+             client.connection->id);
   client.requests.emplace(call->request.tag, call->received.id);
   requests_.Add(call->received.id, std::move(call->request));
   events_.emplace_back(call->received);
@@ -238,41 +244,43 @@
   const std::string head = EncodeResponseHead(tag, response.status, response.fields, response.body.size());
   if (!connection.Write(head, response.body, "\r\n")) {
     log::Warn("client.reads_nothing", {{"client", connection.id}},
-              "client {}: reads none of its responses, connection closed", connection.id);
-    return Close(client, ClientEnd::kStalled);
+              "client {}: does not read its responses, write queue full, connection closed", connection.id);
+    return Close(client, ClientCloseReason::kStalled);
   }
   if (connection.Backlog() > 0 && backlogged_.insert(connection.id).second) {
-    client.StartProgress(net::Now());
+    client.ResetWriteProgress(net::Now());
   }
 }
 
 void DownstreamConnections::OnClosed(net::Connection& connection) {
   Client& client = clients_.at(connection.id);
-  if (!client.is_ended) RecordEnd(client, ClientEnd::kPeer);
+  if (!client.is_ended) RecordClose(client, ClientCloseReason::kPeer);
   Release(client);
 }
 
-void DownstreamConnections::RecordEnd(Client& client, ClientEnd reason) {
+void DownstreamConnections::RecordClose(Client& client, ClientCloseReason reason) {
   client.is_ended = true;
-  ++end_counts_[static_cast<std::size_t>(reason)];
+  ++close_counts_[static_cast<std::size_t>(reason)];
   log::Debug("client.ended",
              {{"client", client.connection->id}, {"reason", Name(reason)}, {"open", client.requests.size()}},
              "client {}: connection ended ({}), {} requests open", client.connection->id, Name(reason),
              client.requests.size());
 }
 
-void DownstreamConnections::Close(Client& client, ClientEnd reason) {
-  RecordEnd(client, reason);
+// Closes the connection at once, without lingering.
+void DownstreamConnections::Close(Client& client, ClientCloseReason reason) {
+  RecordClose(client, reason);
   Release(client);
 }
 
+// Closes the connection, cancels its requests and marks the client to be erased at the end of the round.
 void DownstreamConnections::Release(Client& client) {
   client.connection->Close();
   AbandonRequests(client);
   closed_.push_back(client.connection->id);
 }
 
-// What is in flight on a connection that ends has no client any more.
+// Cancels all requests in flight on a connection that has ended.
 void DownstreamConnections::AbandonRequests(Client& client) {
   for (const auto& [tag, id] : std::exchange(client.requests, {})) {
     events_.emplace_back(core::ClientDisconnected{id});
@@ -281,33 +289,33 @@
   idle_connections_.Remove(client.connection->id);
 }
 
-// False: a request has just arrived, so the client stays.
-bool DownstreamConnections::LingerUnlessInputPending(Client& client, Micros now, ClientEnd reason) {
+// Returns false and leaves the connection open if input is waiting in the socket: a request has just arrived.
+bool DownstreamConnections::LingerUnlessInputPending(Client& client, Micros now, ClientCloseReason reason) {
   if (client.connection->HasPendingInput()) return false;
   Linger(client, now, reason);
   return true;
 }
 
-// Shuts our side down and reads on for a moment: a plain close resets the connection when input comes in that
-// moment, and the reset may destroy responses on their way.
-void DownstreamConnections::Linger(Client& client, Micros now, ClientEnd reason) {
-  RecordEnd(client, reason);
+// Shuts down our side and keeps reading for kLingerTimeout. Closing at once would reset the connection if
+// input arrived meanwhile, and the reset may discard responses that the client has not received yet.
+void DownstreamConnections::Linger(Client& client, Micros now, ClientCloseReason reason) {
+  RecordClose(client, reason);
   AbandonRequests(client);
-  client.connection->SetReadPaused(false);  // what comes is read and dropped
+  client.connection->SetReadPaused(false);  // input is read and discarded
   client.connection->ShutdownWhenDrained();
-  lingering_.push_back({client.connection->id, now + kLingerTime});
-  loop_.Timers().Set(now + kLingerTime, [](Micros) {});
+  lingering_.push_back({client.connection->id, now + kLingerTimeout});
+  loop_.Timers().Set(now + kLingerTimeout, [](Micros) {});
 }
 
-// Closes clients that have closed their side as well, or had their time. Not too many linger at once: each
-// still holds its descriptor.
+// Closes lingering clients that have closed their side or whose linger timeout has expired. The number of
+// lingering clients is bounded, since each holds a descriptor; the oldest are closed first.
 void DownstreamConnections::CloseLingeringClients(Micros now) {
   const std::size_t max_lingering = config_.limits.PartingSockets();
   std::size_t excess = lingering_.size() > max_lingering ? lingering_.size() - max_lingering : 0;
   std::erase_if(lingering_, [&](const LingeringClient& lingering) {
     const auto found = clients_.find(lingering.id);
     if (found == clients_.end()) return true;
-    if (!found->second.connection->IsClosed() && now < lingering.until && excess == 0) return false;
+    if (!found->second.connection->IsClosed() && now < lingering.expires_at && excess == 0) return false;
     excess -= excess > 0 ? 1 : 0;
     Release(found->second);
     return true;
@@ -323,8 +331,8 @@
 void DownstreamConnections::EndRound(Micros now) {
   if (listener_.IsOpen() && drain_ && now >= drain_->accept_until) listener_.CloseAfterAccepting();
   PauseIntakeOverMemoryLimit(now);
-  ConsumeHandled();
-  if (drain_) EndDrainedClients(now);
+  ConsumeHandledInput();
+  if (drain_) CloseDrainedClients(now);
   CheckBackloggedClients(now);
   CloseIdleClients(now);
   CloseLingeringClients(now);
@@ -332,8 +340,9 @@
   ScheduleIdleCheck();
 }
 
-// Bodies of all requests together could take more than the memory limit: over an eighth of it they wait in
-// the sockets. While a drain rejects what arrives nothing waits: a rejection takes no memory.
+// Pauses the intake of all clients while the bodies of all pending requests exceed an eighth of the memory
+// limit; further requests wait in the sockets. While a drain rejects every new request the intake is not
+// paused, since a rejected request takes no memory.
 void DownstreamConnections::PauseIntakeOverMemoryLimit(Micros now) {
   const std::size_t max_body_bytes = config_.limits.memory_mb * (std::size_t{1} << 20) / 8;
   const bool is_rejecting = drain_ && now >= drain_->reject_from;
@@ -342,7 +351,7 @@
   for (auto& [id, client] : clients_) client.SetIntakePaused(is_paused);
 }
 
-void DownstreamConnections::ConsumeHandled() {
+void DownstreamConnections::ConsumeHandledInput() {
   for (const std::uint64_t id : active_in_round_) {
     const auto found = clients_.find(id);
     if (found == clients_.end() || found->second.connection->IsClosed()) continue;
@@ -364,11 +373,11 @@
     net::Connection& connection = *client.connection;
     const std::size_t backlog = connection.IsClosed() ? 0 : connection.Backlog();
     client.SetIntakePaused(is_intake_paused_ || backlog > max_backlog);
-    client.UpdateProgress(now);
+    client.UpdateWriteProgress(now);
     if (backlog > 0 && now - client.last_progress_at > stall_timeout) {
       log::Warn("client.stuck", {{"client", connection.id}, {"backlog", backlog}},
                 "client {}: takes no answers, connection closed", connection.id);
-      Close(client, ClientEnd::kStalled);
+      Close(client, ClientCloseReason::kStalled);
     }
     const bool is_done = backlog == 0 || connection.IsClosed();
     position = is_done ? backlogged_.erase(position) : std::next(position);
@@ -378,8 +387,8 @@
 void DownstreamConnections::CloseIdleClients(Micros now) {
   while (const auto id = idle_connections_.NextExpired(now)) {
     Client& client = clients_.at(*id);
-    // One that has yet to take its responses is not idle, nor one that has just sent a request.
-    if (client.connection->Backlog() > 0 || !LingerUnlessInputPending(client, now, ClientEnd::kIdle))
+    // A client with unsent responses is not idle, nor is one that has just sent a request.
+    if (client.connection->Backlog() > 0 || !LingerUnlessInputPending(client, now, ClientCloseReason::kIdle))
       idle_connections_.MarkIdle(*id, now);
   }
 }
@@ -392,7 +401,7 @@
   closed_.clear();
 }
 
-void DownstreamConnections::EndDrainedClients(Micros now) {
+void DownstreamConnections::CloseDrainedClients(Micros now) {
   ScheduleDrainCheck(now, drain_->reject_from);
   ScheduleDrainCheck(now, drain_->close_by);
   for (auto& [id, client] : clients_) {
@@ -402,12 +411,12 @@
     ScheduleDrainCheck(now, decision.ask_again_at);
     if (now >= drain_->close_by) ++client.looks_past_close;
     if (decision.reason == core::EndReason::kNone) continue;
-    const bool is_rested = decision.reason == core::EndReason::kRested;
-    Linger(client, now, is_rested ? ClientEnd::kDrained : ClientEnd::kDrainTimeUp);
+    const bool is_idle = decision.reason == core::EndReason::kRested;
+    Linger(client, now, is_idle ? ClientCloseReason::kDrained : ClientCloseReason::kDrainDeadline);
   }
 }
 
-// The round of the timer checks again.
+// Sets a timer for the next drain check; EndRound of the timer's round performs it.
 void DownstreamConnections::ScheduleDrainCheck(Micros now, Micros due_at) {
   if (due_at <= now || due_at == Micros::max()) return;
   if (next_drain_check_at_ && *next_drain_check_at_ <= due_at) return;
@@ -415,7 +424,7 @@
   loop_.Timers().Set(due_at, [this](Micros) { next_drain_check_at_.reset(); });
 }
 
-// New and idle clients are closed in time, even if nothing else happens.
+// Sets a timer so that new and idle clients are closed in time even without other events.
 void DownstreamConnections::ScheduleIdleCheck() {
   const auto deadline = idle_connections_.NextDeadline();
   if (!deadline || (next_idle_check_at_ && *next_idle_check_at_ <= *deadline)) return;
--- a/src/front/platform/downstream_connections.hpp
+++ b/src/front/platform/downstream_connections.hpp
@@ -1,4 +1,4 @@
-// The clients' side of the platform: RESP requests in, final responses out.
+// The client connections of the platform front: they receive RESP requests and return the final responses.
 #pragma once
 
 #include <cstddef>
@@ -24,38 +24,41 @@
 
 namespace tinspan::platform {
 
-/// Accepts clients, turns their calls into events, and owns their requests until the final response. Not
-/// thread-safe; all arguments of the constructor must outlive it.
+/// Accepts client connections, turns their calls into events for the core, and owns the requests until their
+/// final response. A round is one iteration of the event loop. Not thread-safe; all arguments of the
+/// constructor must outlive it.
 class DownstreamConnections final : public net::Connection::Owner {
  public:
   DownstreamConnections(net::EventLoop& loop, const config::Platform& config,
                         core::RequestCoordinator& coordinator, std::vector<core::Event>& events);
 
-  /// Null: the request has its final response, or its client has gone.
+  /// Returns null once the request has its final response, was cancelled, or its client has disconnected.
   const PendingRequest* Find(RequestId id) const { return requests_.Find(id); }
 
-  /// The final response; `body` is sent or copied before this returns. Nothing happens if the request is not
-  /// pending; the same holds for Reject and Fail.
+  /// Sends the final response; `body` is sent or copied before this returns. Respond, Reject and Fail do
+  /// nothing if the request is not pending.
   void Respond(RequestId id, bool is_not_modified, std::string_view body);
-  /// The request was not served; 0: it is not known when to retry.
+  /// Tells the client that the request was not served and when to retry; 0 means that this is not known.
   void Reject(RequestId id, Micros retry_after);
+  /// Sends an error as the final response.
   void Fail(RequestId id);
 
-  /// Lets clients go by this timetable, which takes the place of one before.
+  /// Closes client connections according to this timetable, which replaces an earlier one.
   void StartDrain(const core::DrainTimetable& timetable) { drain_ = timetable; }
-  /// Clients are kept again.
+  /// Stops closing client connections for a drain.
   void EndDrain() { drain_.reset(); }
-  /// The names of the classes by position, after a retune (setup::Retune); the last position of a name
-  /// counts.
+  /// Replaces the class names after a reload (Retune). A name's last position is its ClassId.
   void SetClasses(Names classes) { classes_ = std::move(classes); }
+  /// Whether no client connection is left and no new one is accepted.
   bool IsDrained() const { return clients_.empty() && !listener_.IsOpen(); }
   std::size_t ConnectionCount() const { return clients_.size(); }
   std::uint16_t Port() const { return listener_.Port(); }
-  /// Bytes of responses that clients have yet to take, all clients together.
+  /// Response bytes queued for all clients that their sockets have not taken yet.
   std::size_t Backlog() const;
-  /// Requests without their final response.
-  const ClientEndCounts& EndCounts() const { return end_counts_; }
+  const ClientCloseCounts& CloseCounts() const { return close_counts_; }
+  /// Number of requests without a final response.
   std::size_t PendingCount() const { return requests_.Count(); }
+  /// Consumes the input handled in this round, applies the limits and timeouts, and frees closed connections.
   void EndRound(Micros now);
 
   void OnData(net::Connection& connection) override;
@@ -63,9 +66,10 @@
 
  private:
   using Client = DownstreamClient;
+  // A client whose connection our side has shut down. It is closed at `expires_at` at the latest.
   struct LingeringClient {
     std::uint64_t id;
-    Micros until;
+    Micros expires_at;
   };
   struct ResponseMessage {
     std::string_view status{};
@@ -76,7 +80,7 @@
   void Accept(net::Fd fd);
   bool EvictIdleClient();
 
-  void HandleUnparsed(Client& client, const RespError& error);
+  void HandleParseError(Client& client, const RespError& error);
   void HandleMessage(Client& client, const RespMessage& message);
   tl::expected<void, CallError> StartRequest(Client& client, const RespMessage& message);
   void RejectCall(Client& client, const std::string& tag);
@@ -87,16 +91,16 @@
   void Complete(RequestId id, const ResponseMessage& response);
   void Write(Client& client, std::string_view tag, const ResponseMessage& response);
 
-  bool LingerUnlessInputPending(Client& client, Micros now, ClientEnd reason);
-  void Linger(Client& client, Micros now, ClientEnd reason);
-  void Close(Client& client, ClientEnd reason);
+  bool LingerUnlessInputPending(Client& client, Micros now, ClientCloseReason reason);
+  void Linger(Client& client, Micros now, ClientCloseReason reason);
+  void Close(Client& client, ClientCloseReason reason);
   void Release(Client& client);
-  void RecordEnd(Client& client, ClientEnd reason);
+  void RecordClose(Client& client, ClientCloseReason reason);
   void AbandonRequests(Client& client);
 
   void PauseIntakeOverMemoryLimit(Micros now);
-  void ConsumeHandled();
-  void EndDrainedClients(Micros now);
+  void ConsumeHandledInput();
+  void CloseDrainedClients(Micros now);
   void ScheduleDrainCheck(Micros now, Micros due_at);
   void CheckBackloggedClients(Micros now);
   void CloseIdleClients(Micros now);
@@ -110,16 +114,16 @@
   std::vector<core::Event>& events_;
   std::unordered_map<std::uint64_t, Client> clients_;
   PendingRequests requests_;
-  bool is_intake_paused_ = false;  // for all clients
+  bool is_intake_paused_ = false;  // for all clients: the memory limit for request bodies is exceeded
   net::IdleConnectionTracker idle_connections_;
   std::unordered_set<std::uint64_t> active_in_round_;  // clients whose input was handled in this round
-  std::unordered_set<std::uint64_t> backlogged_;       // clients that have yet to take responses
-  std::vector<std::uint64_t> closed_;                  // in this round
-  std::deque<LingeringClient> lingering_;              // our side has ended, the oldest in front
+  std::unordered_set<std::uint64_t> backlogged_;       // clients with unsent response bytes
+  std::vector<std::uint64_t> closed_;                  // to be erased at the end of the round
+  std::deque<LingeringClient> lingering_;              // in the order in which they began to linger
   std::optional<Micros> next_idle_check_at_;
   std::optional<Micros> next_drain_check_at_;
   std::uint64_t last_client_id_ = 0;
-  ClientEndCounts end_counts_{};
+  ClientCloseCounts close_counts_{};
   std::optional<core::DrainTimetable> drain_;
   Names classes_;
   net::Listener listener_;
--- a/src/front/platform/endpoint_watcher.cpp
+++ b/src/front/platform/endpoint_watcher.cpp
@@ -12,16 +12,19 @@
 namespace {
 
 constexpr net::Connection::Limits kLimits{.max_read_bytes = 8 << 20, .max_write_bytes = 4096};
-// A line comes each second. Without one for so long the connection is dead, though nothing says so; the
-// platform counts a change as known 4 s after it was sent, whether it was received or not.
+// The discovery service sends a line every second. A connection without one for this long is considered dead
+// even if no error is reported. The platform considers a change known to every instance 4 s after it was
+// sent, whether or not it was received.
 constexpr Micros kSilenceTimeout{1'800'000};
 constexpr Micros kConnectTimeout{400'000};
-// Before the next connect: a discovery service that comes back is not called by all instances at one moment.
+// The delay before a reconnect is random, so that not all instances connect at the same moment to a discovery
+// service that has restarted.
 constexpr Micros kMinReconnectDelay{50'000};
 constexpr Micros kMaxReconnectDelay{150'000};
-// A reload that names the same address checks whether the connection is alive: a line comes each second.
+// A reload with the same address reconnects if there was no line for this long; a line is due every second.
 constexpr Micros kReloadSilenceTimeout{1'200'000};
-constexpr std::uint64_t kRandomStream = 0x6368616e6765ull;  // draws of its own from the configured seed
+// Combined with the configured seed, so that other users of that seed draw different random numbers.
+constexpr std::uint64_t kSeedSalt = 0x6368616e6765ull;
 
 }  // namespace
 
@@ -33,7 +36,7 @@
       upstream_(upstream),
       events_(events),
       parser_(config.site),
-      random_(config.seed ^ kRandomStream) {
+      random_(config.seed ^ kSeedSalt) {
   ApplyConfiguredEvents();
   Connect();
 }
@@ -48,7 +51,7 @@
       throw config::Error("known.results: " + error.field + ": expected " + error.expected);
     }
   }
-  sequence_ = std::max(sequence_, config_.known_seq);
+  last_sequence_ = std::max(last_sequence_, config_.known_seq);
 }
 
 void EndpointWatcher::Follow(const net::Endpoint& address) {
@@ -60,8 +63,8 @@
   }
   address_ = address;
   const std::string address_text = address_.Text();
-  log::Info("changelog.following", {{"address", address_text}, {"seq", sequence_}},
-            "endpoint watch: following {} after event {}", address_text, sequence_);
+  log::Info("changelog.following", {{"address", address_text}, {"seq", last_sequence_}},
+            "endpoint watch: following {} after event {}", address_text, last_sequence_);
   loop_.Timers().Cancel(timer_);
   if (has_received_line_ && connection_ && connection_->IsOpen()) {
     CloseConnection(previous_connection_);
@@ -78,20 +81,20 @@
   RestartTimer();
 }
 
-// Freed at the round's end: it may be the one whose data is being handled.
+// The connection is freed at the end of the round, since its data may be in use now.
 void EndpointWatcher::CloseConnection(std::unique_ptr<net::Connection>& connection) {
   if (!connection) return;
   connection->Close();
   closed_.push_back(std::move(connection));
 }
 
-// One timer at a time: the connect timeout, the silence timeout, or the delay before the next connect.
+// Restarts the connect timeout or the silence timeout. The delay before a reconnect uses the same timer.
 void EndpointWatcher::RestartTimer() {
   loop_.Timers().Cancel(timer_);
   const Micros timeout = connection_->IsOpen() ? kSilenceTimeout : kConnectTimeout;
   timer_ = loop_.Timers().Set(net::Now() + timeout, [this](Micros) {
-    log::Warn("changelog.silent", {{"seq", sequence_}},
-              "endpoint watch: silent, connecting anew after event {}", sequence_);
+    log::Warn("changelog.silent", {{"seq", last_sequence_}},
+              "endpoint watch: silent, connecting anew after event {}", last_sequence_);
     Reconnect();
   });
 }
@@ -104,7 +107,7 @@
 }
 
 void EndpointWatcher::OnOpen(net::Connection& connection) {
-  connection.Write("since " + std::to_string(sequence_) + "\n");
+  connection.Write("since " + std::to_string(last_sequence_) + "\n");
   RestartTimer();
 }
 
@@ -117,7 +120,8 @@
 }
 
 void EndpointWatcher::OnData(net::Connection& connection) {
-  const Sender sender = &connection == previous_connection_.get() ? Sender::kPrevious : Sender::kCurrent;
+  const LineSource source = &connection == previous_connection_.get() ? LineSource::kPreviousConnection
+                                                                      : LineSource::kCurrentConnection;
   const std::string_view unread = connection.Unread();
   std::size_t handled = 0;
   while (true) {
@@ -126,18 +130,18 @@
     std::string_view line = unread.substr(handled, line_end - handled);
     if (line.ends_with('\r')) line.remove_suffix(1);
     try {
-      HandleLine(line, sender);
+      HandleLine(line, source);
     } catch (const Malformed& error) {
-      // The new connection gets the event again, complete.
-      if (sender == Sender::kPrevious) return CloseConnection(previous_connection_);
+      // The current connection receives the event again, complete.
+      if (source == LineSource::kPreviousConnection) return CloseConnection(previous_connection_);
       return HandleMalformed(error, line.starts_with('{'));
     }
     handled = line_end + 1;
   }
-  // An incomplete line is no sign of life: a sender that stops in the middle of an event has stopped.
+  // An incomplete line does not restart the silence timeout: a sender may stall in the middle of an event.
   if (handled == 0) return;
   connection.Consume(handled);
-  if (sender == Sender::kCurrent) OnLinesHandled();
+  if (source == LineSource::kCurrentConnection) OnLinesHandled();
 }
 
 void EndpointWatcher::OnLinesHandled() {
@@ -147,46 +151,49 @@
   RestartTimer();
 }
 
-// An event that was damaged on the way arrives complete when it is requested again. Malformed a second time
-// it is skipped, so that one event cannot hold back all later ones for ever.
+// Reconnects, which requests the event again: one that was damaged in transit then arrives intact. An event
+// that is malformed a second time is skipped, so that it does not block all later events.
 void EndpointWatcher::HandleMalformed(const Malformed& error, bool is_event) {
-  const bool is_skipped = is_event && malformed_after_ == sequence_;
-  log::Error(
-      "changelog.unusable",
-      {{"seq", sequence_}, {"field", error.field}, {"expected", error.expected}, {"passed_over", is_skipped}},
-      "endpoint watch: after event {}: {}: expected {}; {}", sequence_, error.field, error.expected,
-      is_skipped ? "skipped" : "reconnecting");
-  if (is_event) malformed_after_ = sequence_;
-  if (is_skipped) ++sequence_;
+  const bool is_skipped = is_event && malformed_after_ == last_sequence_;
+  log::Error("changelog.unusable",
+             {{"seq", last_sequence_},
+              {"field", error.field},
+              {"expected", error.expected},
+              {"passed_over", is_skipped}},
+             "endpoint watch: malformed input after event {}: {}: expected {}; {}", last_sequence_,
+             error.field, error.expected, is_skipped ? "skipped" : "reconnecting");
+  if (is_event) malformed_after_ = last_sequence_;
+  if (is_skipped) ++last_sequence_;
   Reconnect();
 }
 
-void EndpointWatcher::HandleLine(std::string_view line, Sender sender) {
+void EndpointWatcher::HandleLine(std::string_view line, LineSource source) {
   if (line.empty()) return;
   if (line.front() == '{') return Apply(line);
-  if (sender == Sender::kPrevious) return;  // only the new connection says how far the sequence has got
-  const auto last_sequence = ReadNumber<std::uint64_t>(line);
-  if (!last_sequence) throw Malformed{"line", "an event or the last number"};
-  // Events up to that number would have arrived by now: something was lost.
-  if (*last_sequence > sequence_) throw Malformed{"last number", std::to_string(sequence_)};
+  // Any other line is the number of the last event; it is evaluated only on the current connection.
+  if (source == LineSource::kPreviousConnection) return;
+  const auto announced_sequence = ReadNumber<std::uint64_t>(line);
+  if (!announced_sequence) throw Malformed{"line", "an event or the last sequence number"};
+  // All events up to that number should have arrived before this line, so at least one was lost.
+  if (*announced_sequence > last_sequence_) throw Malformed{"last number", std::to_string(last_sequence_)};
 }
 
 void EndpointWatcher::Apply(std::string_view json) {
-  // Parsed completely before any of it is applied: a malformed event is requested again, and until then none
-  // of it has happened.
-  std::optional<WatchEvent> event = parser_.Parse(json, sequence_);
+  // The event is parsed completely before any part of it is applied, so that a malformed event, which is
+  // requested again, has no effect.
+  std::optional<WatchEvent> event = parser_.Parse(json, last_sequence_);
   if (!event) return;
   if (auto* const list = std::get_if<EndpointListChange>(&event->change)) {
     ApplyEndpointList(std::move(*list));
   } else if (const auto* const purge = std::get_if<core::PurgeReceived>(&event->change)) {
     events_.emplace_back(*purge);
   }
-  sequence_ = event->sequence;
+  last_sequence_ = event->sequence;
 }
 
 void EndpointWatcher::ApplyEndpointList(EndpointListChange change) {
   core::EndpointsUpdated& update = change.update;
-  if (update.kind == EndpointsEvent::Kind::kFull) {  // a server that a full list does not name has gone
+  if (update.kind == EndpointsEvent::Kind::kFull) {  // a server that is not in a full list is removed
     draining_.clear();
     std::unordered_set<ServerId> servers;
     for (const EndpointInfo& endpoint : update.endpoints) servers.insert(endpoint.id);
--- a/src/front/platform/endpoint_watcher.hpp
+++ b/src/front/platform/endpoint_watcher.hpp
@@ -1,5 +1,5 @@
-// The endpoint watch (the platform's change log): changes of the endpoint list and purges, followed over one
-// connection that is reopened whenever it ends or falls silent.
+// The endpoint watch (the platform's change log): receives changes of the endpoint list and purges over one
+// connection, which is reopened whenever it ends or becomes silent.
 #pragma once
 
 #include <cstdint>
@@ -19,12 +19,12 @@
 
 namespace tinspan::platform {
 
-/// Follows the endpoint watch, applies it to the connections to servers and pushes it to the core's events.
-/// Not thread-safe; all arguments of the constructor must outlive it.
+/// Follows the endpoint watch. It applies the received events to the server connections and appends them to
+/// the core's events. Not thread-safe; all arguments of the constructor must outlive it.
 class EndpointWatcher final : public net::Connection::Owner {
  public:
-  /// Applies what the configuration knows at once, into `events`, and begins to follow. Throws config::Error
-  /// if an event in the configuration is malformed.
+  /// Applies the events in the configuration at once and starts to follow the watch. Throws config::Error if
+  /// an event in the configuration is malformed.
   EndpointWatcher(net::EventLoop& loop, const config::Platform& config, UpstreamConnections& upstream,
                   std::vector<core::Event>& events);
   EndpointWatcher(const EndpointWatcher&) = delete;
@@ -33,12 +33,13 @@
   EndpointWatcher& operator=(EndpointWatcher&&) = delete;
   ~EndpointWatcher();
 
-  /// From now on the events come from `address`; their sequence numbers go on. The connection before is read
-  /// until the new one has sent a line: the events that it sends meanwhile are applied.
+  /// Follows the watch at `address`, from the last applied sequence number. The previous connection is read,
+  /// and its events are applied, until the new connection has sent a line. If the address is unchanged, it
+  /// reconnects only if the connection has been silent for too long.
   void Follow(const net::Endpoint& address);
-  /// Frees the connections that were closed in this round.
+  /// Frees the connections closed in this round (one iteration of the event loop).
   void EndRound();
-  /// Servers that were reported draining and are not removed yet.
+  /// Number of servers that are draining and not removed yet.
   std::size_t DrainingCount() const { return draining_.size(); }
 
   void OnOpen(net::Connection& connection) override;
@@ -46,14 +47,14 @@
   void OnClosed(net::Connection& connection) override;
 
  private:
-  enum class Sender { kCurrent, kPrevious };
+  enum class LineSource { kCurrentConnection, kPreviousConnection };
 
   void ApplyConfiguredEvents();
   void Connect();
   void Reconnect();
   void RestartTimer();
   void CloseConnection(std::unique_ptr<net::Connection>& connection);
-  void HandleLine(std::string_view line, Sender sender);  // throws Malformed
+  void HandleLine(std::string_view line, LineSource source);  // throws Malformed
   void OnLinesHandled();
   void HandleMalformed(const Malformed& error, bool is_event);
   void Apply(std::string_view json);  // throws Malformed
@@ -65,15 +66,15 @@
   UpstreamConnections& upstream_;
   std::vector<core::Event>& events_;
   WatchEventParser parser_;
-  std::uint64_t sequence_ = 0;  // of the last event that was applied
+  std::uint64_t last_sequence_ = 0;  // of the last event applied or skipped
   std::unordered_set<ServerId> draining_;
-  std::optional<std::uint64_t>
-      malformed_after_;  // the event behind this one was malformed and requested again
+  // Sequence number after which a malformed event was received and requested again.
+  std::optional<std::uint64_t> malformed_after_;
   std::unique_ptr<net::Connection> connection_;
-  bool has_received_line_ = false;  // on this connection
+  bool has_received_line_ = false;  // on connection_
   Micros last_line_at_{0};
-  std::unique_ptr<net::Connection> previous_connection_;  // until the new one has sent a line
-  std::vector<std::unique_ptr<net::Connection>> closed_;  // in this round
+  std::unique_ptr<net::Connection> previous_connection_;  // read until connection_ has sent a line
+  std::vector<std::unique_ptr<net::Connection>> closed_;  // freed at the end of the round
   net::TimerQueue::Id timer_{};
   std::mt19937_64 random_;
 };
--- a/src/front/platform/fields.hpp
+++ b/src/front/platform/fields.hpp
@@ -1,5 +1,5 @@
-// Field lists `name=value,name=value` as the platform's messages carry them (values hold no commas), and the
-// numbers in them.
+// Parsing of the field lists `name=value,name=value` in the platform's messages, whose values contain no
+// commas, and of the numbers in them.
 #pragma once
 
 #include <charconv>
@@ -10,27 +10,27 @@
 
 namespace tinspan::platform {
 
-/// Whether a text was a list of fields.
-enum class FieldList { kValid, kMalformed };
+/// Result of parsing a field list.
+enum class FieldListStatus { kValid, kMalformed };
 
-/// Calls `visit(name, value)` for each field of `text` in order; an empty text and "-" are lists without a
-/// field. kMalformed: a pair has no name or no `=`; the fields in front of it have been visited.
+/// Calls `visit(name, value)` for each field of `text` in order. An empty text and "-" are empty lists.
+/// Returns kMalformed at the first pair without a name or `=`; the fields before it have been visited.
 template <class Visitor>
-FieldList ForEachField(std::string_view text, const Visitor& visit) {
-  if (text.empty() || text == "-") return FieldList::kValid;
+FieldListStatus ForEachField(std::string_view text, const Visitor& visit) {
+  if (text.empty() || text == "-") return FieldListStatus::kValid;
   while (true) {
     const std::size_t comma = text.find(',');
     const std::string_view pair = text.substr(0, comma);
     const std::size_t separator = pair.find('=');
-    if (separator == std::string_view::npos || separator == 0) return FieldList::kMalformed;
+    if (separator == std::string_view::npos || separator == 0) return FieldListStatus::kMalformed;
     visit(pair.substr(0, separator), pair.substr(separator + 1));
-    if (comma == std::string_view::npos) return FieldList::kValid;
+    if (comma == std::string_view::npos) return FieldListStatus::kValid;
     text.remove_prefix(comma + 1);
   }
 }
 
-/// The number that `text` consists of, in base `base` where it is an integer; nothing if it is none or out of
-/// the type's range.
+/// Parses all of `text` as a number; `base` applies to integers only. Returns nullopt if `text` is not a
+/// number or is out of the type's range.
 template <class Number>
 std::optional<Number> ReadNumber(std::string_view text, int base = 10) {
   Number value{};
--- a/src/front/platform/pending_requests.hpp
+++ b/src/front/platform/pending_requests.hpp
@@ -1,4 +1,4 @@
-// All requests of the platform's clients that wait for their final response.
+// The requests of all clients that have no final response yet.
 #pragma once
 
 #include <cstddef>
@@ -11,16 +11,16 @@
 
 namespace tinspan::platform {
 
-/// Owns the pending requests and knows what their bodies take.
+/// Owns the pending requests and counts the bytes of their bodies. Not thread-safe.
 class PendingRequests {
  public:
   /// `request.reference` must not be in use.
   void Add(RequestId id, PendingRequest request);
-  /// Nothing happens if there is no such request.
+  /// Does nothing if there is no such request.
   void Remove(RequestId id);
-  /// Null: there is none. Valid until the request is removed.
+  /// Returns null if there is no such request. The pointer is valid until the request is removed.
   const PendingRequest* Find(RequestId id) const;
-  /// Whether a pending request has this id on the wire.
+  /// Whether a pending request uses this reference.
   bool HasReference(const std::string& reference) const { return references_.contains(reference); }
   std::size_t Count() const { return requests_.size(); }
   std::size_t BodyBytes() const { return body_bytes_; }
--- a/src/front/platform/platform_front.cpp
+++ b/src/front/platform/platform_front.cpp
@@ -10,7 +10,8 @@
 namespace tinspan::platform {
 namespace {
 
-std::string Join(const std::vector<std::string>& names) {
+// Joins the names with commas. Returns "-" if there are none.
+std::string JoinNames(const std::vector<std::string>& names) {
   std::string joined;
   for (const std::string& name : names) joined += (joined.empty() ? "" : ",") + name;
   return joined.empty() ? std::string("-") : joined;
@@ -55,7 +56,7 @@
       upstream_(loop, config, coordinator, downstream_, events),
       endpoint_watcher_(loop, config, upstream_, events) {
   if (config.ops) {
-    ops_door_.emplace(
+    admin_listener_.emplace(
         loop, *config.ops, service_, [this] { return Figures(); }, views_);
   }
 }
@@ -76,17 +77,18 @@
   return figures;
 }
 
-// Why requests were rejected or failed, why connections ended, and what calls of the system failed.
+// Adds the counts of rejected and failed requests, closed connections and socket errors, each by reason, and
+// the step of the wall clock.
 void PlatformFront::AddStats(ops::Figures& figures) const {
   const auto add = [&figures](std::string name, const char* type, std::uint64_t value) {
     figures.more.push_back({std::move(name), type, value});
   };
-  add("rejected_draining_total", "counter", rejected_draining_);
-  add("failed_deadline_total", "counter", failed_at_deadline_);
+  add("rejected_draining_total", "counter", rejected_draining_count_);
+  add("failed_deadline_total", "counter", failed_deadline_count_);
   add("clients", "gauge", downstream_.ConnectionCount());
-  const ClientEndCounts& ends = downstream_.EndCounts();
+  const ClientCloseCounts& ends = downstream_.CloseCounts();
   for (std::size_t reason = 0; reason < ends.size(); ++reason) {
-    const std::string name(Name(static_cast<ClientEnd>(reason)));
+    const std::string name(Name(static_cast<ClientCloseReason>(reason)));
     add("clients_ended_" + name + "_total", "counter", ends[reason]);
   }
   for (std::size_t kind = 1; kind < static_cast<std::size_t>(net::SocketErrorKind::kCount); ++kind) {
@@ -104,7 +106,7 @@
     const auto request = static_cast<std::uint64_t>(start->action.id);
     const auto server = static_cast<std::uint64_t>(start->action.server);
     log::Debug("attempt.started", {{"request", request}, {"attempt", start->attempt}, {"server", server}},
-               "request {}: attempt {} to server {}", request, start->attempt, server);
+               "request {}: attempt {} started on server {}", request, start->attempt, server);
     upstream_.Execute(now, *start);
   } else if (const auto* const abort = std::get_if<core::AbortAttempt>(&command)) {
     upstream_.Execute(now, *abort);
@@ -112,22 +114,22 @@
     log::Info("router.line", {}, "router: {}", message->text);
   } else if (const auto* const complete = std::get_if<core::CompleteRequest>(&command)) {
     Complete(*complete);
-  }  // else ForwardResponse: responses are complete here
+  }  // ForwardResponse needs no action: this front forwards only complete responses
 }
 
 void PlatformFront::Complete(const core::CompleteRequest& command) {
   const auto request = static_cast<std::uint64_t>(command.id);
   log::Debug("request.completed",
              {{"request", request}, {"status", Name(command.status)}, {"reason", Name(command.reason)}},
-             "request {}: {} ({})", request, Name(command.status), Name(command.reason));
-  if (command.reason == core::CompletionReason::kDeadline) ++failed_at_deadline_;
+             "request {}: completed as {} (reason: {})", request, Name(command.status), Name(command.reason));
+  if (command.reason == core::CompletionReason::kDeadline) ++failed_deadline_count_;
   switch (command.status) {
     case core::CompletionStatus::kServed:
       ++counters_.completed;
       return Respond(command.id);
     case core::CompletionStatus::kRejected:
       ++counters_.rejected;
-      if (command.reason == core::CompletionReason::kDraining) ++rejected_draining_;
+      if (command.reason == core::CompletionReason::kDraining) ++rejected_draining_count_;
       return downstream_.Reject(command.id, command.retry_after);
     default:
       ++counters_.failed;
@@ -138,7 +140,8 @@
 void PlatformFront::Respond(RequestId id) {
   const ServedResponse* const response = upstream_.FindResponse(id);
   if (response != nullptr) return downstream_.Respond(id, response->is_not_modified, response->body);
-  log::Error("core.answer_without_bytes", {}, "a served request without its response");
+  log::Error("core.answer_without_bytes", {},
+             "request completed as served, but its response is missing; responding with an error");
   downstream_.Fail(id);
 }
 
@@ -176,19 +179,19 @@
 
 void PlatformFront::LogReload(const std::vector<std::string>& added,
                               const std::vector<std::string>& dropped) const {
-  const std::string added_names = Join(added);
-  const std::string dropped_names = Join(dropped);
+  const std::string added_names = JoinNames(added);
+  const std::string dropped_names = JoinNames(dropped);
   log::Info("config.reloaded",
             {{"added", added_names}, {"dropped", dropped_names}, {"attempts", site_.settings.max_attempts}},
-            "configuration read anew: classes added or changed {}, no longer listed {}, attempts {}; "
-            "endpoint watch followed; the rest needs a restart",
+            "configuration read anew: classes added or changed {}, no longer listed {}, max attempts {}; "
+            "endpoint watch address applied; other changes need a restart",
             added_names, dropped_names, site_.settings.max_attempts);
 }
 
 void PlatformFront::EndRound(Micros now) {
-  service_.Serving();  // the first round has applied what the configuration knows
-  FollowServiceState(now);
-  // Clients that are slow to take their responses hold up the servers' responses, not the memory.
+  service_.Serving();  // the events in the configuration have been applied by the end of the first round
+  ApplyServiceState(now);
+  // When clients read their responses too slowly, reading from the servers is paused to bound the memory use.
   upstream_.SetReadPaused(downstream_.Backlog() > max_downstream_backlog_);
   downstream_.EndRound(now);
   upstream_.EndRound(now);
@@ -196,23 +199,24 @@
   upstream_.FailureLog().EndRound(now);
 }
 
-// What an operator's call has changed since the last round. A shutdown is begun by Drain.
-void PlatformFront::FollowServiceState(Micros now) {
-  const ops::Life before = std::exchange(service_state_, service_.Now());
-  if (before == service_state_) return;
+// Applies a service state that an operator has set through the admin listener since the last round. Drain,
+// not this function, starts a shutdown.
+void PlatformFront::ApplyServiceState(Micros now) {
+  const ops::Life before = std::exchange(last_service_state_, service_.Now());
+  if (before == last_service_state_) return;
   const std::size_t pending = downstream_.PendingCount();
   log::Info("service.state",
             {{"from", ops::Name(before)},
-             {"to", ops::Name(service_state_)},
+             {"to", ops::Name(last_service_state_)},
              {"clients", downstream_.ConnectionCount()},
              {"pending", pending}},
-            "service state: {} to {}, {} clients' connections, {} requests open", ops::Name(before),
-            ops::Name(service_state_), downstream_.ConnectionCount(), pending);
-  if (service_state_ == ops::Life::kStandby) {
+            "service state changed from {} to {}: {} client connections, {} pending requests",
+            ops::Name(before), ops::Name(last_service_state_), downstream_.ConnectionCount(), pending);
+  if (last_service_state_ == ops::Life::kStandby) {
     const core::DrainTimetable timetable = core::StandbyTimetable(now);
     coordinator_.StartDrain(timetable);
     downstream_.StartDrain(timetable);
-  } else if (before == ops::Life::kStandby && service_state_ == ops::Life::kServing) {
+  } else if (before == ops::Life::kStandby && last_service_state_ == ops::Life::kServing) {
     coordinator_.EndDrain();
     downstream_.EndDrain();
   }
--- a/src/front/platform/resp.hpp
+++ b/src/front/platform/resp.hpp
@@ -1,5 +1,5 @@
-// RESP (the Redis serialization protocol): arrays of bulk strings, parsed as slices of the buffer and written
-// as a head in front of a body.
+// RESP (the Redis serialization protocol): parsing of arrays of bulk strings without copying them, and
+// encoding of bulk strings.
 #pragma once
 
 #include <array>
@@ -10,29 +10,29 @@
 
 namespace tinspan::platform {
 
-/// One array. Its words point into the text that was parsed.
+/// One array of bulk strings. The elements point into the text that was parsed.
 struct RespMessage {
-  static constexpr std::size_t kMaxWords = 8;
-  std::array<std::string_view, kMaxWords> words;
-  std::size_t count = 0;  // of the words; 1 at least
-  std::size_t size = 0;   // bytes of the whole message
+  static constexpr std::size_t kMaxElements = 8;
+  std::array<std::string_view, kMaxElements> elements;
+  std::size_t count = 0;  // number of elements, at least 1
+  std::size_t size = 0;   // of the whole message, in bytes
 };
 
-/// Why no message could be read.
+/// Why ParseResp returned no message.
 struct RespError {
   enum class Kind {
     kIncomplete,  // more bytes are needed
-    kMalformed    // no array, or longer than is allowed: where the next message begins is not known
+    kMalformed    // not an array of bulk strings, or too long; the start of the next message is unknown
   };
 
   Kind kind = Kind::kIncomplete;
-  std::size_t bytes_needed = 0;  // kIncomplete: how many bytes the message has at least
+  std::size_t bytes_needed = 0;  // with kIncomplete: lower bound of the message size
 };
 
-/// Reads the message at the front of `text`, of `max_bytes` at most.
+/// Parses the first message in `text`. A message of more than `max_bytes` is malformed.
 tl::expected<RespMessage, RespError> ParseResp(std::string_view text, std::size_t max_bytes);
 
-/// Appends `word` as a bulk string.
-void AppendBulk(std::string& out, std::string_view word);
+/// Appends `value` to `out` as a bulk string.
+void AppendBulk(std::string& out, std::string_view value);
 
 }  // namespace tinspan::platform
--- a/src/front/platform/stalled_connections.cpp
+++ b/src/front/platform/stalled_connections.cpp
@@ -6,10 +6,10 @@
 namespace tinspan::platform {
 namespace {
 
-// Without a byte in the middle of a response. A packet that was lost once is sent again after 200 ms.
+// How long no byte may arrive in the middle of a response. TCP retransmits a lost packet after 200 ms.
 constexpr Micros kPartialResponseTimeout{250'000};
-// A response that alone is late may be slow, so it is given a multiple of the time.
-constexpr int kSingleResponseFactor = 4;
+// A single late response may just be slow, so it is allowed a multiple of the timeout.
+constexpr int kSingleLateResponseFactor = 4;
 constexpr std::size_t kMinLateResponses = 2;
 
 }  // namespace
@@ -31,8 +31,8 @@
   return std::nullopt;
 }
 
-// Nothing comes here while the server sends elsewhere: a response that never comes, and what is behind it
-// does not come either.
+// Whether the connection receives nothing while its server sends on other connections, and responses on it
+// are late. Such a response never arrives, and neither do those that follow it on the same connection.
 bool StallDetector::IsSilent(const UpstreamPool::PooledConnection& pooled) const {
   const Micros silent_since = pooled.SilentSince();
   if (silent_since == Micros{0}) return false;
@@ -46,7 +46,7 @@
     const Micros waited = now_ - std::max(exchange.started_at, silent_since);
     const Micros timeout = response_timeout_ + exchange.transfer_time;
     late_responses += waited > timeout ? 1 : 0;
-    has_very_late_response = has_very_late_response || waited > kSingleResponseFactor * timeout;
+    has_very_late_response = has_very_late_response || waited > kSingleLateResponseFactor * timeout;
   }
   return late_responses >= kMinLateResponses || has_very_late_response;
 }
--- a/src/front/platform/stalled_connections.hpp
+++ b/src/front/platform/stalled_connections.hpp
@@ -1,4 +1,4 @@
-// Which connections to servers owe responses and make no progress.
+// Detection of server connections that have outstanding responses but make no progress.
 #pragma once
 
 #include <cstdint>
@@ -10,13 +10,14 @@
 
 namespace tinspan::platform {
 
-/// One look at all connections at one point in time. It changes nothing.
+/// Checks the connections of a pool for stalls at one point in time. It changes none of them. Construct one
+/// for each check, and use it before any connection receives data.
 class StallDetector {
  public:
-  /// `response_timeout` is what a response may take, its transfer time apart.
+  /// `response_timeout` is how long a response may take, excluding its transfer time.
   StallDetector(Micros now, Micros response_timeout, UpstreamPool& pool);
 
-  /// Why the connection should be given up; nothing: it should not.
+  /// Returns why the connection should be closed, as text for the log, or nullopt if it is not stalled.
   std::optional<std::string_view> FindStall(const UpstreamPool::PooledConnection& pooled) const;
 
  private:
@@ -24,7 +25,7 @@
 
   Micros now_;
   Micros response_timeout_;
-  std::unordered_map<std::uint64_t, Micros> last_received_at_;  // by server, on any of its connections
+  std::unordered_map<std::uint64_t, Micros> last_received_at_;  // by server, over all its connections
 };
 
 }  // namespace tinspan::platform
--- a/src/front/platform/upstream_connections.cpp
+++ b/src/front/platform/upstream_connections.cpp
@@ -9,18 +9,18 @@
 namespace tinspan::platform {
 namespace {
 
-constexpr std::size_t kPreferredStreams = 4;  // requests on one connection before another is opened
+constexpr std::size_t kPreferredStreams = 4;  // requests in flight on a connection before another is opened
 constexpr std::size_t kMaxReadBytes = 64 << 10;
 constexpr std::size_t kMaxWriteBytes = 4 << 20;
 constexpr Micros kStallCheckInterval{25'000};
-// Bounds of the time for a response where its server sends on another connection.
+// Bounds of the response timeout, which applies while the server sends on another of its connections.
 constexpr Micros kMinResponseTimeout{200'000};
 constexpr Micros kMaxResponseTimeout{2'000'000};
 
 net::ConnectionPoolOptions PoolOptions(const config::Platform& config) {
   net::ConnectionPoolOptions options;
   options.connect_timeout = config.connect_timeout;
-  options.idle_timeout = config.idle_close * 3 / 4;  // before the server closes it
+  options.idle_timeout = config.idle_close * 3 / 4;  // closes before the server does
   options.max_streams = config.exchanges;
   options.preferred_streams = kPreferredStreams;
   options.max_connections = config.limits.ServerSockets();
@@ -29,7 +29,7 @@
   return options;
 }
 
-// How long `size_kb` take at the rate of the settings; 0: no rate is set.
+// Returns how long the transfer of `size_kb` takes at the given rate, or 0 if the rate is not set.
 Micros TransferTime(double size_kb, double rate_kb_per_s) {
   return Micros{static_cast<std::int64_t>(rate_kb_per_s > 0 ? size_kb / rate_kb_per_s * 1e6 : 0)};
 }
@@ -54,7 +54,7 @@
 
 void UpstreamConnections::RemoveEndpoint(ServerId id) {
   pool_.RetireServer(static_cast<std::uint64_t>(id));
-  addresses_.erase(id);  // over a long time many servers come and go
+  addresses_.erase(id);  // the table would grow without bound, since servers are replaced over time
 }
 
 void UpstreamConnections::RetainOnly(const std::unordered_set<ServerId>& servers) {
@@ -97,7 +97,7 @@
 }
 
 void UpstreamConnections::WriteDueRequests(Micros now) {
-  // A connection that is closed on the way may add requests, which are assigned to another one.
+  // Writing may close a connection, and its requests may then be reassigned and appended to this list.
   std::size_t next = 0;
   while (next < due_requests_.size()) {
     const DueRequest due = due_requests_[next];
@@ -113,8 +113,9 @@
   if (exchange->second.IsWritten()) return;
   const auto attempt = in_flight_.find(exchange->second.request_id);
   if (attempt == in_flight_.end()) return;
-  // Behind bytes that the socket does not take yet it would be sent at an unknown time: after a drain, a
-  // purge, its key's window. It waits until the queue is empty, and is checked again then.
+  // Queued after bytes that the socket has not taken yet, the request would be sent at an unknown time,
+  // perhaps after a drain has begun, after a purge, or after the window of its idempotency key. It waits
+  // until the queue is empty and is checked again then.
   if (due.pooled->connection.Backlog() > 0) {
     due.pooled->state.waiting.push_back(due.reference);
     return;
@@ -124,7 +125,7 @@
   if (due.has_waited) events_.emplace_back(core::AttemptSent{command.action.id, command.attempt});
 }
 
-// Writes a request, unless what has happened since the decision forbids it.
+// Writes a request, unless it may no longer be sent because of events since the routing decision.
 void UpstreamConnections::WriteRequest(Micros now, PooledConnection& pooled, const std::string& reference,
                                        const core::StartAttempt& command) {
   const RequestId id = command.action.id;
@@ -135,7 +136,7 @@
   const std::string line = EncodeRequestLine(now, request, command, fill_source);
   const bool is_queued = pooled.connection.Write(line, request.body, "\r\n");
   pooled.state.exchanges[reference].request_end = pooled.connection.BytesQueued();
-  if (!is_queued) CloseConnection(pooled, "write queue full");  // the server has not got all of this request
+  if (!is_queued) CloseConnection(pooled, "write queue full");  // the request was not sent completely
 }
 
 bool UpstreamConnections::CanWrite(Micros now, const core::StartAttempt& command) const {
@@ -170,14 +171,16 @@
     pooled.connection.Write(EncodeStop(exchange->first));
     RetireRequestId(pooled, exchange->first);
   } else {
-    // A further attempt on this connection before it is open would wait twice and be written twice.
+    // Otherwise the next attempt of the request, if assigned to this connection before it opens, would be
+    // listed twice and written twice.
     std::erase(pooled.state.waiting, exchange->first);
   }
   exchanges.erase(exchange);
   pool_.Release(pooled, now);
-  // A STOP that the socket does not take would come after the next attempt, elsewhere, has begun: a second
-  // copy. So would the rest of the request itself.
-  if (is_written && pooled.connection.Backlog() > 0) CloseConnection(pooled, "STOP not taken by the socket");
+  // A STOP that the socket has not taken, or the rest of the request itself, would reach the server after the
+  // next attempt has started on another connection, so that the request might run twice.
+  if (is_written && pooled.connection.Backlog() > 0)
+    CloseConnection(pooled, "STOP not accepted by the socket");
 }
 
 void UpstreamConnections::RetireRequestId(PooledConnection& pooled, const std::string& reference) {
@@ -185,7 +188,7 @@
   if (pooled.state.retired_request_ids.IsFull()) pool_.Retire(pooled);
 }
 
-// The exchange is over on the wire: the core is notified.
+// Ends the exchange on its connection and reports the outcome to the core.
 void UpstreamConnections::CompleteAttempt(RequestId id, PooledConnection& pooled,
                                           core::AttemptCompleted completed) {
   const auto attempt = in_flight_.find(id);
@@ -210,8 +213,8 @@
   const std::string address = pooled.endpoint.Text();
   log::Warn("server.connection_closed", {{"server", pooled.server}, {"address", address}, {"reason", reason}},
             "server {} at {}: {}, connection closed", pooled.server, address, reason);
-  // What is in flight may be retried at once, and the retry may overtake the close: each request is cancelled
-  // explicitly.
+  // Requests in flight may be retried at once, and a retry may reach the server before the close does. Each
+  // request is therefore cancelled explicitly.
   for (const auto& [reference, exchange] : pooled.state.exchanges) {
     if (exchange.IsWritten()) pooled.connection.Write(EncodeStop(reference));
   }
@@ -228,12 +231,14 @@
   const auto exchanges = std::exchange(pooled.state.exchanges, {});
   pooled.state.waiting.clear();
   const Micros now = net::Now();
-  // Without a descriptor left the failure is this process's own and says nothing of the server.
-  if (!exchanges.empty() && !pooled.connection.FailedLocally()) ReportLost(now, pooled, exchanges.size());
+  // A local failure, such as a lack of descriptors, says nothing about the server.
+  if (!exchanges.empty() && !pooled.connection.FailedLocally())
+    ReportConnectionLost(now, pooled, exchanges.size());
   for (const auto& [reference, exchange] : exchanges) ReassignOrComplete(now, pooled, exchange);
 }
 
-void UpstreamConnections::ReportLost(Micros now, const PooledConnection& pooled, std::size_t open_requests) {
+void UpstreamConnections::ReportConnectionLost(Micros now, const PooledConnection& pooled,
+                                               std::size_t open_requests) {
   log::Debug("server.connection_lost", {{"server", pooled.server}, {"open", open_requests}},
              "server {} at {}: connection lost with {} requests in flight", pooled.server,
              pooled.endpoint.Text(), open_requests);
@@ -259,9 +264,9 @@
   CompleteAttempt(id, pooled, {.outcome = outcome});
 }
 
-// Not all bytes taken by the socket, or never connected: the request cannot have reached the server
-// completely. If the connection had been open its loss says little of the server, so another connection is
-// tried, once.
+// Whether the attempt may move to another connection after its connection was lost. This is safe if the
+// socket had not taken the whole request, since it cannot have reached the server completely. It is done
+// once, and only if the lost connection had been open, since such a loss says little about the server.
 bool UpstreamConnections::CanReassign(const PooledConnection& pooled,
                                       const UpstreamExchange& exchange) const {
   if (exchange.IsSent(pooled.connection) || !pooled.state.was_open) return false;
@@ -279,7 +284,7 @@
     const auto reason = detector.FindStall(pooled);
     if (reason) CloseConnection(pooled, *reason);
   }
-  loop_.Timers().Set(*next_stall_check_at_, [](Micros) {});  // the round that follows checks again
+  loop_.Timers().Set(*next_stall_check_at_, [](Micros) {});  // EndRound then checks again
 }
 
 void UpstreamConnections::OnConnectionData(PooledConnection& pooled) {
@@ -304,10 +309,10 @@
   const std::string reference(frame.reference);
   const auto exchange = pooled.state.exchanges.find(reference);
   if (exchange == pooled.state.exchanges.end()) {
-    RetireRequestId(pooled, reference);  // cancelled before, or never requested: ignored
+    RetireRequestId(pooled, reference);  // the response is ignored: cancelled earlier or never requested
     return FrameResult::kHandled;
   }
-  if (!exchange->second.IsSent(pooled.connection)) return FrameResult::kMalformed;  // ahead of its request
+  if (!exchange->second.IsSent(pooled.connection)) return FrameResult::kMalformed;  // precedes its request
   const auto response = ParseResponse(frame);
   if (!response) return FrameResult::kMalformed;
   HandleResponse(pooled, reference, *response, frame.body);
@@ -325,7 +330,7 @@
                                    .issued_at = response.issued_at};
   if (response.is_not_modified && !NamesCachedCopy(id, response)) {
     log::Warn("server.names_another_copy", {{"server", pooled.server}},
-              "server {}: a response that names a copy which its client does not hold", pooled.server);
+              "server {}: not-modified response names a copy that the client does not hold", pooled.server);
     completed.outcome = Outcome::kError;
   }
   if (completed.outcome == Outcome::kServed) {
@@ -336,7 +341,8 @@
   CompleteAttempt(id, pooled, completed);
 }
 
-// A client's copy is current only where the server has named that very copy.
+// Whether the response names the copy that the client holds. Otherwise a not-modified response does not say
+// that the client's copy is current.
 bool UpstreamConnections::NamesCachedCopy(RequestId id, const Response& response) const {
   const PendingRequest* const request = downstream_.Find(id);
   return request != nullptr && !request->cached_copy.empty() && response.entity == request->cached_copy;
--- a/src/front/platform/upstream_connections.hpp
+++ b/src/front/platform/upstream_connections.hpp
@@ -1,5 +1,5 @@
-// The servers' side of the platform: attempts on pooled connections to edge caches, parent caches and the
-// origin.
+// The server connections of the platform front: executes attempts on pooled connections to edge caches,
+// parent caches and the origin.
 #pragma once
 
 #include <optional>
@@ -20,20 +20,20 @@
 
 namespace tinspan::platform {
 
-/// Where a server is and what it is called on the wire.
+/// A server's address and its name in the cache protocol.
 struct ServerAddress {
   std::string name;
   net::Endpoint endpoint;
 };
 
-/// A complete response that is ready to be passed on.
+/// A complete response that can be forwarded to the client.
 struct ServedResponse {
   bool is_not_modified = false;  // the client's own copy is current
   std::string_view body;         // valid until the round ends
 };
 
-/// Executes the core's commands to servers and reports their outcomes as events. Not thread-safe; all
-/// arguments of the constructor must outlive it.
+/// Executes the core's attempts on servers and reports their outcomes as events. A round is one iteration of
+/// the event loop. Not thread-safe; all arguments of the constructor must outlive it.
 class UpstreamConnections final : public UpstreamPool::Callbacks {
  public:
   using PooledConnection = UpstreamPool::PooledConnection;
@@ -42,24 +42,25 @@
                       core::RequestCoordinator& coordinator, const DownstreamConnections& downstream,
                       std::vector<core::Event>& events);
 
-  /// Adds a server, or moves it to another address.
+  /// Adds a server, or changes its address.
   void AddEndpoint(ServerId id, ServerAddress address);
-  /// The server has gone: its connections get nothing new.
+  /// Removes a server. Its connections get no new attempts and are closed once the open ones have ended.
   void RemoveEndpoint(ServerId id);
   /// Removes all servers except these.
   void RetainOnly(const std::unordered_set<ServerId>& servers);
   std::size_t EndpointCount() const { return addresses_.size(); }
 
-  /// Assigns the attempt to a connection; its request is written at the round's end.
+  /// Assigns the attempt to a connection. The request is written at the end of the round, or once the
+  /// connection is open.
   void Execute(Micros now, const core::StartAttempt& command);
-  /// Cancels the attempt at once. Nothing happens if another one is in flight, or none.
+  /// Cancels the attempt at once. Does nothing if this attempt of the request is not in flight.
   void Execute(Micros now, const core::AbortAttempt& command);
-  /// The response of the attempt that was reported served in this round; null: there is none.
+  /// Returns the response of the attempt that was reported as served in this round, or null if there is none.
   const ServedResponse* FindResponse(RequestId id) const;
 
-  /// While paused no connection is read.
+  /// While paused, no server connection is read.
   void SetReadPaused(bool paused);
-  /// Writes what is due, gives up stalled connections and frees closed ones.
+  /// Writes the due requests, closes stalled connections and frees closed ones.
   void EndRound(Micros now);
   front::UpstreamFailureLog& FailureLog() { return failure_log_; }
 
@@ -72,19 +73,24 @@
   struct InFlightAttempt {
     PooledConnection* pooled = nullptr;
     core::StartAttempt command;
-    bool is_reassigned = false;  // to a second connection, since the first broke before the request was sent
+    bool is_reassigned = false;  // to a second connection: the first was lost before the request was sent
   };
+  // A request to write at the end of the round.
   struct DueRequest {
-    PooledConnection* pooled;  // valid until the sweep at the round's end
+    PooledConnection* pooled;  // valid until the pool's Sweep at the end of the round
     std::string reference;
-    bool has_waited;  // for its connection: the core is notified when it is sent
+    // The request waited for its connection to open or drain, so the core gets AttemptSent when it is
+    // written.
+    bool has_waited;
   };
   enum class FrameResult { kHandled, kMalformed };
 
   void Assign(Micros now, const PendingRequest& request, InFlightAttempt attempt);
-  // Writes what is due, at the round's end: every STOP of a round goes before every request of it. A server
-  // reads its connections in the order in which they became ready: with a request written first, the next
-  // attempt of another, behind it, would be read before the STOP that came between on another connection.
+  // Writes the due requests at the end of the round, so that every STOP of a round is written before every
+  // request. A server reads its connections in the order in which they became ready. Otherwise this order of
+  // writes would be possible: request A on connection 1, the STOP of request B on connection 2, the next
+  // attempt of B on connection 1. The server would read connection 1 first, and so B's next attempt before
+  // the STOP of B.
   void WriteDueRequests(Micros now);
   void WriteDueRequest(Micros now, const DueRequest& due);
   void WriteRequest(Micros now, PooledConnection& pooled, const std::string& reference,
@@ -93,7 +99,7 @@
   void CompleteAttempt(RequestId id, PooledConnection& pooled, core::AttemptCompleted completed);
   void RetireRequestId(PooledConnection& pooled, const std::string& reference);
   void CloseConnection(PooledConnection& pooled, std::string_view reason);
-  void ReportLost(Micros now, const PooledConnection& pooled, std::size_t open_requests);
+  void ReportConnectionLost(Micros now, const PooledConnection& pooled, std::size_t open_requests);
   void ReassignOrComplete(Micros now, PooledConnection& pooled, const UpstreamExchange& exchange);
   bool CanReassign(const PooledConnection& pooled, const UpstreamExchange& exchange) const;
   void CloseStalledConnections(Micros now);
@@ -107,7 +113,7 @@
   const DownstreamConnections& downstream_;
   std::vector<core::Event>& events_;
   std::unordered_map<ServerId, ServerAddress> addresses_;
-  std::unordered_map<RequestId, InFlightAttempt> in_flight_;  // one attempt of a request at a time
+  std::unordered_map<RequestId, InFlightAttempt> in_flight_;  // a request has one attempt at a time
   std::unordered_map<RequestId, ServedResponse> served_;      // in this round
   bool is_read_paused_ = false;
   net::EventLoop& loop_;
--- a/src/front/platform/upstream_exchange.hpp
+++ b/src/front/platform/upstream_exchange.hpp
@@ -1,4 +1,4 @@
-// What is open on one connection to a server.
+// State of one connection to a server: its open exchanges and its retired request ids.
 #pragma once
 
 #include <cstddef>
@@ -13,29 +13,30 @@
 
 namespace tinspan::platform {
 
-/// One attempt on its connection, from its assignment until its response.
+/// One attempt on a connection, from its assignment to the connection until its response.
 struct UpstreamExchange {
   RequestId request_id{};
   std::uint32_t attempt = 0;
-  std::uint64_t request_end = 0;  // the connection's BytesQueued() behind the request; 0: not written yet
+  std::uint64_t request_end = 0;  // BytesQueued() after the request was written; 0 before that
   Micros started_at{0};
-  Micros transfer_time{0};  // that the response's own bytes may take
+  Micros transfer_time{0};  // time allowed for transferring the bytes of the response
 
-  /// The request has been handed to the connection.
+  /// Whether the request has been passed to Connection::Write.
   bool IsWritten() const { return request_end > 0; }
-  /// The socket has taken all of the request, so that it may have reached the server.
+  /// Whether the socket has taken the whole request, so that it may have reached the server.
   bool IsSent(const net::Connection& connection) const {
     return IsWritten() && connection.BytesSent() >= request_end;
   }
 };
 
-/// Wire ids that must not be used again on a connection, since they were cancelled or failed on it, or were
-/// answered without a request: a late or a second response could be taken for that of the new attempt.
+/// References that must not be used again on a connection: a request with this reference was cancelled or
+/// failed on it, or a response arrived that belongs to no open request. A late or second response could
+/// otherwise be taken for the response of a new attempt.
 class RetiredRequestIds {
  public:
   void Add(const std::string& reference) { references_.insert(reference); }
   bool Contains(const std::string& reference) const { return references_.contains(reference); }
-  /// So many that the connection should be replaced, which frees them.
+  /// Whether there are so many that the connection should be replaced, which frees them.
   bool IsFull() const { return references_.size() > kMaxReferences; }
 
  private:
@@ -44,15 +45,16 @@
   std::unordered_set<std::string> references_;
 };
 
-/// The user's part of a pooled connection to a server.
+/// The state that UpstreamConnections attaches to a pooled connection.
 struct UpstreamConnectionState {
-  std::unordered_map<std::string, UpstreamExchange> exchanges;  // by the request's id on the wire
+  std::unordered_map<std::string, UpstreamExchange> exchanges;  // by reference
   RetiredRequestIds retired_request_ids;
   bool was_open = false;
-  std::vector<std::string> waiting;  // wire ids that wait for the connection to open or to drain, in order
-  std::size_t bytes_handled = 0;     // at the front of Unread(), consumed at the round's end
+  // References of requests to write once the connection is open or its write queue is empty, in order.
+  std::vector<std::string> waiting;
+  std::size_t bytes_handled = 0;  // prefix of Unread() that was handled; consumed at the end of the round
 
-  /// Whether an attempt with this wire id may be assigned to the connection.
+  /// Whether an attempt with this reference may be assigned to the connection.
   bool Accepts(const std::string& reference) const {
     return !exchanges.contains(reference) && !retired_request_ids.Contains(reference);
   }
--- a/src/front/platform/watch_event.cpp
+++ b/src/front/platform/watch_event.cpp
@@ -14,13 +14,16 @@
 
 constexpr std::int64_t kMicrosPerMillisecond = 1000;
 
+// Returns the value of `key`. Throws Malformed if it is missing or of another type.
 template <class Value>
 Value Get(const element& object, std::string_view key) {
   Value value{};
-  if (object[key].get(value) != simdjson::SUCCESS) throw Malformed{std::string(key), "a value of its type"};
+  if (object[key].get(value) != simdjson::SUCCESS)
+    throw Malformed{std::string(key), "a value of the required type"};
   return value;
 }
 
+// Returns the value of `key`, or `absent` if it is missing or of another type.
 template <class Value>
 Value GetOr(const element& object, std::string_view key, Value absent) {
   Value value{};
@@ -34,7 +37,8 @@
                                {"removed", Availability::kRemoved}});
 }
 
-// By the name and not by the address: a new server may take the address of one that has gone.
+// The id is a hash of the name, not of the address, since a new server may reuse the address of a removed
+// one.
 EndpointInfo ParseEndpointInfo(const element& server, std::string_view name, const Site& site) {
   EndpointInfo info;
   info.id = HashName(name);
@@ -43,7 +47,7 @@
   info.kind = KindId{PlaceOf(site.kinds, Get<std::string_view>(server, "kind"), "kind")};
   info.zone = ZoneId{PlaceOf(site.zones, Get<std::string_view>(server, "zone"), "zone")};
   const Micros started_at{GetOr<std::int64_t>(server, "started_ms", 0) * kMicrosPerMillisecond};
-  info.started_at = net::ToProgramTime(UnixTime(started_at));  // 0: no late start
+  info.started_at = net::ToProgramTime(UnixTime(started_at));  // 0 or not given: started long ago
   info.availability = ParseAvailability(Get<std::string_view>(server, "state"));
   return info;
 }
--- a/src/front/platform/watch_event.hpp
+++ b/src/front/platform/watch_event.hpp
@@ -1,4 +1,5 @@
-// Events of the endpoint watch as JSON lines, without I/O: changes of the endpoint list, and purges.
+// Parsing of the endpoint watch's events, without I/O. Each event is a JSON object that changes the endpoint
+// list or purges an object or a group.
 #pragma once
 
 #include <cstdint>
@@ -18,22 +19,22 @@
 
 namespace tinspan::platform {
 
-/// Endpoints that were added, changed or removed, or the complete list.
+/// A change of the endpoint list: the endpoints added, changed or removed, or the complete list.
 struct EndpointListChange {
   core::EndpointsUpdated update;
-  std::vector<std::optional<net::Endpoint>> addresses;  // of the endpoint at the same position
+  std::vector<std::optional<net::Endpoint>> addresses;  // parallel to update.endpoints; nullopt if not given
 };
 
-/// One event of the watch. The sequence number is the source's own and grows with each event.
+/// One event of the watch. The discovery service assigns the sequence numbers; they increase.
 struct WatchEvent {
   std::uint64_t sequence = 0;
-  std::variant<std::monostate, EndpointListChange, core::PurgeReceived> change;  // monostate: of no interest
+  std::variant<std::monostate, EndpointListChange, core::PurgeReceived> change;  // monostate: another type
 };
 
-/// Parses events one at a time; it keeps the JSON parser's buffers between them.
+/// Parses events one at a time and reuses the JSON parser's buffers between them. Not thread-safe.
 class WatchEventParser {
  public:
-  /// `site` names the kinds and zones that an endpoint may have; it must outlive the parser.
+  /// `site` lists the kinds and zones that an endpoint may have. It must outlive the parser.
   explicit WatchEventParser(const Site& site);
   WatchEventParser(const WatchEventParser&) = delete;
   WatchEventParser& operator=(const WatchEventParser&) = delete;
@@ -41,8 +42,8 @@
   WatchEventParser& operator=(WatchEventParser&&) = delete;
   ~WatchEventParser();
 
-  /// The event in `json`; nothing if its number is not above `last_sequence`, whatever else is in it. Throws
-  /// Malformed, which names the field at fault.
+  /// Parses one event. Returns nullopt if its sequence number is not greater than `last_sequence`; the rest
+  /// of such an event is not validated. Throws Malformed, which names the invalid field.
   std::optional<WatchEvent> Parse(std::string_view json, std::uint64_t last_sequence);
 
  private:
--- a/tests/platform/cache_protocol_test.cpp
+++ b/tests/platform/cache_protocol_test.cpp
@@ -1,4 +1,4 @@
-// The line protocol of the servers: what requests look like on the wire, and what is read of responses.
+// The line protocol of the servers: encoding of requests and decoding of responses.
 #include "front/platform/cache_protocol.hpp"
 
 #include <gtest/gtest.h>
@@ -31,7 +31,7 @@
   return EncodeRequestLine(kNow, request, attempt, fill_source);
 }
 
-TEST(EncodeRequestLineTest, LeavesOutWhatIsNotSet) {
+TEST(EncodeRequestLineTest, OmitsFieldsThatAreNotSet) {
   EXPECT_EQ(Encode(MinimalRequest(), MinimalAttempt()), "REQ 00112233445566aa queue=browse,budget=250 0\r\n");
 }
 
@@ -54,7 +54,7 @@
             "prio=2,within=30000,f=share+peek+pass+swr,mine=copy 5\r\n");
 }
 
-TEST(EncodeRequestLineTest, GivesABudgetOfOneMillisecondAtLeast) {
+TEST(EncodeRequestLineTest, WritesABudgetOfAtLeastOneMillisecond) {
   core::StartAttempt attempt = MinimalAttempt();
   attempt.action.expires_at = kNow - Micros{5'000};
   EXPECT_EQ(Encode(MinimalRequest(), attempt), "REQ 00112233445566aa queue=browse,budget=1 0\r\n");
@@ -75,13 +75,13 @@
   EXPECT_EQ(frame->size, 27u);
 }
 
-TEST(ReadResponseFrameTest, TakesABodyThatHoldsLineEnds) {
+TEST(ReadResponseFrameTest, AcceptsABodyThatContainsLineEnds) {
   const auto frame = ReadResponseFrame("ab OK - 4\r\n\r\n\r\n\r\n");
   ASSERT_TRUE(frame.has_value());
   EXPECT_EQ(frame->body, "\r\n\r\n");
 }
 
-TEST(ReadResponseFrameTest, TakesAnEmptyBody) {
+TEST(ReadResponseFrameTest, AcceptsAnEmptyBody) {
   const auto frame = ReadResponseFrame("ab MISS - 0\r\n\r\n");
   ASSERT_TRUE(frame.has_value());
   EXPECT_EQ(frame->body, "");
@@ -104,7 +104,7 @@
   }
 }
 
-TEST(ReadResponseFrameTest, SaysHowManyBytesABodyNeeds) {
+TEST(ReadResponseFrameTest, ReportsHowManyBytesAMessageNeeds) {
   for (const char* const text : {"ab OK - 3\r\n", "ab OK - 3\r\nxyz", "ab OK - 3\r\nxyz\r"}) {
     const auto frame = ReadResponseFrame(text);
     ASSERT_FALSE(frame.has_value()) << text;
@@ -129,9 +129,9 @@
 INSTANTIATE_TEST_SUITE_P(
     Texts, MalformedFrameTest,
     ::testing::Values(MalformedFrame{std::string(4097, 'x'), FrameError::Kind::kLineTooLong},
-                      MalformedFrame{"ab\r\n", FrameError::Kind::kMissingWord},
-                      MalformedFrame{"ab OK\r\n", FrameError::Kind::kMissingWord},
-                      MalformedFrame{"ab OK -\r\n", FrameError::Kind::kMissingWord},
+                      MalformedFrame{"ab\r\n", FrameError::Kind::kMissingToken},
+                      MalformedFrame{"ab OK\r\n", FrameError::Kind::kMissingToken},
+                      MalformedFrame{"ab OK -\r\n", FrameError::Kind::kMissingToken},
                       MalformedFrame{"ab OK - \r\n", FrameError::Kind::kInvalidLength},
                       MalformedFrame{"ab OK - x\r\n", FrameError::Kind::kInvalidLength},
                       MalformedFrame{"ab OK - -1\r\n", FrameError::Kind::kInvalidLength},
@@ -150,7 +150,7 @@
 
 class ResponseStatusTest : public ::testing::TestWithParam<StatusOutcome> {};
 
-TEST_P(ResponseStatusTest, MeansAnOutcome) {
+TEST_P(ResponseStatusTest, MapsToAnOutcome) {
   const auto response = ParseResponse(Frame(GetParam().status, "-"));
   ASSERT_TRUE(response.has_value());
   EXPECT_EQ(response->outcome, GetParam().outcome);
@@ -163,7 +163,7 @@
                       StatusOutcome{"MISS", Outcome::kMiss}, StatusOutcome{"BUSY", Outcome::kRejected},
                       StatusOutcome{"ERR", Outcome::kError}, StatusOutcome{"VOID", Outcome::kNotSent}));
 
-TEST(ParseResponseTest, ReadsItsFields) {
+TEST(ParseResponseTest, ReadsTheFields) {
   const auto response = ParseResponse(Frame("OK", "detail=rode,issued=1700000000000,entity=copy,other=1"));
   ASSERT_TRUE(response.has_value());
   EXPECT_EQ(response->note, FillNote::kJoined);
@@ -177,7 +177,7 @@
   EXPECT_EQ(response->note, FillNote::kNone);
 }
 
-TEST(ParseResponseTest, IgnoresAPointInTimeOutOfRange) {
+TEST(ParseResponseTest, IgnoresAnInvalidTimestamp) {
   for (const char* const fields : {"issued=-1", "issued=4000000000000", "issued=x", "issued="}) {
     const auto response = ParseResponse(Frame("OK", fields));
     ASSERT_TRUE(response.has_value()) << fields;
--- a/tests/platform/client_protocol_test.cpp
+++ b/tests/platform/client_protocol_test.cpp
@@ -1,4 +1,4 @@
-// The clients' calls: what is read of a valid one, and why others are rejected.
+// Decoding of client calls: the values of valid calls, and the error for each kind of invalid call.
 #include "front/platform/client_protocol.hpp"
 
 #include <gtest/gtest.h>
@@ -12,9 +12,9 @@
 constexpr const char* kReference = "00112233445566aa";
 const std::string kMinimalFields = "ref=00112233445566aa,allow=250";
 
-RespMessage Message(std::initializer_list<std::string_view> words) {
+RespMessage Message(std::initializer_list<std::string_view> elements) {
   RespMessage message;
-  for (const std::string_view word : words) message.words.at(message.count++) = word;
+  for (const std::string_view element : elements) message.elements.at(message.count++) = element;
   return message;
 }
 
@@ -62,19 +62,19 @@
   EXPECT_TRUE(ParseFields(kMinimalFields + ",other=1").has_value());
 }
 
-TEST(ParseCallTest, TakesTheLastClassOfAName) {
+TEST(ParseCallTest, UsesTheLastClassWithAName) {
   const auto call = Parse(Message({"RPC.CALL", "1", "browse", kMinimalFields}));
   ASSERT_TRUE(call.has_value());
   EXPECT_EQ(call->received.class_id, ClassId{2});
 }
 
-TEST(ParseCallTest, RejectsAWrongNumberOfWords) {
-  EXPECT_EQ(Parse(Message({"RPC.CALL", "1", "order"})).error(), CallError::kWrongWordCount);
+TEST(ParseCallTest, RejectsAWrongNumberOfElements) {
+  EXPECT_EQ(Parse(Message({"RPC.CALL", "1", "order"})).error(), CallError::kWrongElementCount);
   EXPECT_EQ(Parse(Message({"RPC.CALL", "1", "order", kMinimalFields, "", ""})).error(),
-            CallError::kWrongWordCount);
+            CallError::kWrongElementCount);
 }
 
-TEST(ParseCallTest, RejectsATagThatIsNoNumber) {
+TEST(ParseCallTest, RejectsATagThatIsNotANumber) {
   for (const char* const tag : {"", "x", "-1", "1 "}) {
     EXPECT_EQ(Parse(Message({"RPC.CALL", tag, "order", kMinimalFields})).error(), CallError::kInvalidTag)
         << tag;
@@ -85,7 +85,7 @@
   EXPECT_EQ(Parse(Message({"RPC.CALL", "1", "none", kMinimalFields})).error(), CallError::kUnknownClass);
 }
 
-TEST(ParseCallTest, RejectsAClassThatIsNoWord) {
+TEST(ParseCallTest, RejectsAClassWithAForbiddenCharacter) {
   EXPECT_EQ(Parse(Message({"RPC.CALL", "1", "a b", kMinimalFields})).error(), CallError::kForbiddenCharacter);
 }
 
--- a/tests/platform/fields_test.cpp
+++ b/tests/platform/fields_test.cpp
@@ -1,4 +1,4 @@
-// Lists of fields and the numbers in them.
+// Parsing of field lists and of numbers.
 #include "front/platform/fields.hpp"
 
 #include <gtest/gtest.h>
@@ -10,8 +10,8 @@
 namespace {
 
 struct Visited {
-  FieldList result;
-  std::string fields;  // as they were visited
+  FieldListStatus result;
+  std::string fields;  // the visited fields as `name:value;`, in order
 };
 
 Visited Visit(std::string_view text) {
@@ -24,36 +24,36 @@
 
 TEST(ForEachFieldTest, VisitsFieldsInOrder) {
   const Visited visited = Visit("b=1,a=,b=x=y");
-  EXPECT_EQ(visited.result, FieldList::kValid);
+  EXPECT_EQ(visited.result, FieldListStatus::kValid);
   EXPECT_EQ(visited.fields, "b:1;a:;b:x=y;");
 }
 
-TEST(ForEachFieldTest, TakesListsWithoutAField) {
+TEST(ForEachFieldTest, AcceptsEmptyLists) {
   for (const char* const text : {"", "-"}) {
-    EXPECT_EQ(Visit(text).result, FieldList::kValid) << text;
+    EXPECT_EQ(Visit(text).result, FieldListStatus::kValid) << text;
     EXPECT_EQ(Visit(text).fields, "") << text;
   }
 }
 
 TEST(ForEachFieldTest, RejectsAPairWithoutANameOrSeparator) {
   for (const char* const text : {"a", "=1", ",", "--"})
-    EXPECT_EQ(Visit(text).result, FieldList::kMalformed) << text;
+    EXPECT_EQ(Visit(text).result, FieldListStatus::kMalformed) << text;
 }
 
-TEST(ForEachFieldTest, HasVisitedTheFieldsInFrontOfAMalformedOne) {
+TEST(ForEachFieldTest, VisitsTheFieldsBeforeAMalformedOne) {
   const Visited visited = Visit("a=1,");
-  EXPECT_EQ(visited.result, FieldList::kMalformed);
+  EXPECT_EQ(visited.result, FieldListStatus::kMalformed);
   EXPECT_EQ(visited.fields, "a:1;");
 }
 
-TEST(ReadNumberTest, ReadsWholeTexts) {
+TEST(ReadNumberTest, ParsesTextsThatAreNumbers) {
   EXPECT_EQ(ReadNumber<std::uint32_t>("4294967295"), 4294967295u);
   EXPECT_EQ(ReadNumber<std::int64_t>("-5"), -5);
   EXPECT_EQ(ReadNumber<std::uint64_t>("fF", 16), 255u);
   EXPECT_EQ(ReadNumber<double>("2.5"), 2.5);
 }
 
-TEST(ReadNumberTest, RejectsOtherTexts) {
+TEST(ReadNumberTest, RejectsTextsThatAreNotNumbersOrOutOfRange) {
   for (const char* const text : {"", " 1", "1 ", "+1", "-1", "x", "1x", "4294967296"})
     EXPECT_EQ(ReadNumber<std::uint32_t>(text), std::nullopt) << text;
   for (const char* const text : {"", " 1", "1 ", "x", "1e999"})
--- a/tests/platform/pending_requests_test.cpp
+++ b/tests/platform/pending_requests_test.cpp
@@ -1,3 +1,4 @@
+// Lookup and removal of pending requests, and the count of their bodies' bytes.
 #include "front/platform/pending_requests.hpp"
 
 #include <gtest/gtest.h>
@@ -33,17 +34,17 @@
   EXPECT_EQ(requests_.Find(RequestId{3}), nullptr);
 }
 
-TEST_F(PendingRequestsTest, KnowsTheReferencesInUse) {
+TEST_F(PendingRequestsTest, FindsReferencesInUse) {
   EXPECT_TRUE(requests_.HasReference("first"));
   EXPECT_FALSE(requests_.HasReference("third"));
 }
 
-TEST_F(PendingRequestsTest, CountsRequestsAndTheBytesOfTheirBodies) {
+TEST_F(PendingRequestsTest, CountsRequestsAndBodyBytes) {
   EXPECT_EQ(requests_.Count(), 2u);
   EXPECT_EQ(requests_.BodyBytes(), 7u);
 }
 
-TEST_F(PendingRequestsTest, FreesAllOfARemovedRequest) {
+TEST_F(PendingRequestsTest, RemovesARequestWithItsReferenceAndBodyBytes) {
   requests_.Remove(kFirst);
   EXPECT_EQ(requests_.Find(kFirst), nullptr);
   EXPECT_FALSE(requests_.HasReference("first"));
@@ -51,7 +52,7 @@
   EXPECT_EQ(requests_.BodyBytes(), 4u);
 }
 
-TEST_F(PendingRequestsTest, IgnoresTheRemovalOfAnUnknownRequest) {
+TEST_F(PendingRequestsTest, IgnoresRemovalOfAnUnknownRequest) {
   requests_.Remove(RequestId{3});
   EXPECT_EQ(requests_.Count(), 2u);
   EXPECT_EQ(requests_.BodyBytes(), 7u);
--- a/tests/platform/upstream_exchange_test.cpp
+++ b/tests/platform/upstream_exchange_test.cpp
@@ -1,3 +1,4 @@
+// Retired request ids of a server connection, and which references it accepts.
 #include "front/platform/upstream_exchange.hpp"
 
 #include <gtest/gtest.h>
@@ -7,9 +8,9 @@
 namespace tinspan::platform {
 namespace {
 
-constexpr int kIdsBeforeReplacement = 2048;
+constexpr int kMaxReferences = 2048;
 
-TEST(RetiredRequestIdsTest, ContainsWhatWasAdded) {
+TEST(RetiredRequestIdsTest, ContainsAddedIds) {
   RetiredRequestIds retired;
   EXPECT_FALSE(retired.Contains("first"));
   retired.Add("first");
@@ -17,9 +18,9 @@
   EXPECT_FALSE(retired.Contains("second"));
 }
 
-TEST(RetiredRequestIdsTest, IsFullBeyondItsLimit) {
+TEST(RetiredRequestIdsTest, IsFullAboveItsLimit) {
   RetiredRequestIds retired;
-  for (int id = 0; id < kIdsBeforeReplacement; ++id) retired.Add(std::to_string(id));
+  for (int id = 0; id < kMaxReferences; ++id) retired.Add(std::to_string(id));
   EXPECT_FALSE(retired.IsFull());
   retired.Add("one more");
   EXPECT_TRUE(retired.IsFull());
@@ -27,7 +28,7 @@
 
 TEST(RetiredRequestIdsTest, CountsAnIdOnce) {
   RetiredRequestIds retired;
-  for (int repeat = 0; repeat <= kIdsBeforeReplacement; ++repeat) retired.Add("same");
+  for (int repeat = 0; repeat <= kMaxReferences; ++repeat) retired.Add("same");
   EXPECT_FALSE(retired.IsFull());
 }
 
--- a/tests/platform/watch_event_test.cpp
+++ b/tests/platform/watch_event_test.cpp
@@ -1,4 +1,5 @@
-// Events of the endpoint watch: valid forms, and each malformed form with the field that it names.
+// Parsing of the endpoint watch's events: valid events, and for each malformed event the field that the error
+// names.
 #include "front/platform/watch_event.hpp"
 
 #include <gtest/gtest.h>
@@ -20,7 +21,7 @@
   std::optional<WatchEvent> Parse(const std::string& json, std::uint64_t last_sequence = 0) {
     return parser_.Parse(json, last_sequence);
   }
-  /// The change in an event that is new and of the type `Change`.
+  /// Parses an event and returns its change. Fails the test if the change is not of the type `Change`.
   template <class Change>
   Change ParseAs(const std::string& json) {
     const auto event = Parse(json);
@@ -30,7 +31,7 @@
     }
     return std::get<Change>(event->change);
   }
-  /// The field that is named as malformed; empty: the event is valid.
+  /// Returns the field that the error names, or an empty string if the event is valid.
   std::string MalformedField(const std::string& json) {
     try {
       Parse(json);
@@ -68,7 +69,7 @@
   EXPECT_EQ(endpoint.availability, Availability::kUp);
 }
 
-TEST_F(WatchEventTest, ReadsNamesAndAddressesAtThePositionOfTheirEndpoint) {
+TEST_F(WatchEventTest, ReadsTheNameAndAddressOfAnEndpoint) {
   const auto change = ParseAs<EndpointListChange>(ListEvent(kServer));
   ASSERT_EQ(change.update.names.size(), 1u);
   EXPECT_EQ(change.update.names.front().name, "edge-1");
@@ -77,7 +78,7 @@
   EXPECT_EQ(change.addresses.front(), net::Endpoint::Parse("10.0.0.1:7000"));
 }
 
-TEST_F(WatchEventTest, TakesDefaultsForWhatIsLeftOut) {
+TEST_F(WatchEventTest, UsesDefaultsForMissingFields) {
   const auto change = ParseAs<EndpointListChange>(
       ListEvent(R"({"id":"edge-1","kind":"edge","zone":"north","state":"up","addr":"10.0.0.1:7000"})"));
   const EndpointInfo& endpoint = change.update.endpoints.at(0);
@@ -86,7 +87,7 @@
   EXPECT_EQ(endpoint.started_at, Micros{0});
 }
 
-TEST_F(WatchEventTest, IsADeltaUnlessItSaysFull) {
+TEST_F(WatchEventTest, IsADeltaUnlessMarkedFull) {
   EXPECT_EQ(ParseAs<EndpointListChange>(ListEvent("")).update.kind, EndpointsEvent::Kind::kDelta);
   EXPECT_EQ(ParseAs<EndpointListChange>(ListEvent("", R"("full":false,)")).update.kind,
             EndpointsEvent::Kind::kDelta);
@@ -98,7 +99,7 @@
   EXPECT_EQ(ParseAs<EndpointListChange>(ListEvent("", R"("version":9,)")).update.version, 9u);
 }
 
-TEST_F(WatchEventTest, NeedsNoAddressOfAServerThatIsNotUp) {
+TEST_F(WatchEventTest, RequiresNoAddressForAServerThatIsNotUp) {
   for (const std::string state : {"draining", "removed"}) {
     const auto change = ParseAs<EndpointListChange>(
         ListEvent(R"({"id":"edge-1","kind":"edge","zone":"north","state":")" + state + R"("})"));
@@ -121,9 +122,9 @@
   EXPECT_EQ(purge.group, GroupId{12});
 }
 
-TEST_F(WatchEventTest, ReadsAnEventOfNoInterest) { ParseAs<std::monostate>(R"({"seq":5,"other":{}})"); }
+TEST_F(WatchEventTest, AcceptsAnEventOfAnotherType) { ParseAs<std::monostate>(R"({"seq":5,"other":{}})"); }
 
-TEST_F(WatchEventTest, PassesOverAKnownSequenceNumberWhateverIsBehindIt) {
+TEST_F(WatchEventTest, IgnoresAKnownSequenceNumberEvenIfTheEventIsMalformed) {
   EXPECT_EQ(Parse(ListEvent(kServer), 5), std::nullopt);
   EXPECT_EQ(Parse(R"({"seq":4,"fleet":{"servers":"none"}})", 5), std::nullopt);
 }
