--- a/src/routing/attempt_load.hpp
+++ b/src/routing/attempt_load.hpp
@@ -1,4 +1,4 @@
-// The sums of what the attempts in flight take up. Nothing is decided here.
+// Accounting of the load that attempts in flight cause.
 #pragma once
 
 #include "routing/request.hpp"
@@ -6,14 +6,14 @@
 
 namespace tinspan {
 
-// Adds an attempt that is sent to the loads of its server, source, origin and ingress link, and charges its
-// transfer time to the slow-start budgets.
+// Adds an attempt to the loads of its server, source, origin and ingress link, and charges its transfer time
+// to the slow-start budgets of server and source.
 void ReserveLoad(RoutingState& state, const Attempt& attempt);
 
-// Takes an attempt that has ended off the loads.
+// Removes an attempt that has ended from the loads. Budgets are not refunded.
 void ReleaseLoad(RoutingState& state, const Attempt& attempt);
 
-// The same for all attempts of a request that are in flight.
+// Calls ReleaseLoad for all attempts of a request that are in flight.
 void ReleaseAllLoad(RoutingState& state, const Request& request);
 
 }  // namespace tinspan
--- a/src/routing/averages.hpp
+++ b/src/routing/averages.hpp
@@ -1,4 +1,4 @@
-// Averages that follow change: of values, and of work over time.
+// Exponentially weighted averages: of a series of values, and of amounts over time.
 #pragma once
 
 #include <cmath>
@@ -15,17 +15,17 @@
 
   double Value() const { return value_; }
 
-  // `weight`, from 0 to 1, is the new value's.
+  // `weight`, from 0 to 1, is the weight of the new value.
   void Add(double value, double weight) { value_ += weight * (value - value_); }
 
  private:
   double value_ = 0;
 };
 
-// A sum of amounts that fade exponentially with their age.
+// A sum of amounts, each of which decays exponentially with its age.
 class DecayingSum {
  public:
-  // `time_constant` is in seconds: after it 1/e of an amount is left.
+  // `time_constant` is in seconds; an amount decays to 1/e in this time.
   double Value(Micros now, double time_constant) const {
     return sum_ * std::exp(-ToSeconds(now - updated_at_) / time_constant);
   }
@@ -36,7 +36,7 @@
   }
 
  private:
-  double sum_ = 0;  // as it was at updated_at_
+  double sum_ = 0;  // value at updated_at_
   Micros updated_at_{0};
 };
 
--- a/src/routing/capacity.cpp
+++ b/src/routing/capacity.cpp
@@ -7,27 +7,27 @@
 
 namespace tinspan {
 
-constexpr double kInitialCacheCapacity = 16;  // of a cache, for all its instances together
-constexpr double kFillShare = 0.15;           // of its caches' capacities, what a location's fills need
-constexpr double kChanceMargin = 2;           // standard deviations of chance on top of an instance's part
-constexpr double kMinCapacity = 20;           // of a server, for all its instances together
-constexpr double kMinCapacityShare = 0.6;     // for requests that earn little for their sending time
-constexpr double kMaxCapacityShare = 1.2;     // for those that earn much
-constexpr double kGrowthFactor = 1.01;        // of a response in time: steady where one in six is late
-constexpr double kLateHitFactor = 0.95;       // what a late response leaves of the capacity
-constexpr double kLateFillFactor = 0.97;      // of fills from afar one in four is late in calm
-constexpr double kRejectionFactor = 0.9;
-constexpr double kLateRateWeight = 0.05;  // of a response
+constexpr double kInitialCacheCapacity = 16;  // requests at one cache, all instances together
+constexpr double kFillShare = 0.15;  // share of the caches' capacities that the fills of a location need
+constexpr double kMarginStandardDeviations = 2;  // margin on top of an instance's expected share
+constexpr double kMinCapacity = 20;              // lower limit per server, all instances together
+constexpr double kMinCapacityShare = 0.6;        // for requests with the lowest value density
+constexpr double kMaxCapacityShare = 1.2;        // for requests with the highest value density
+constexpr double kGrowthFactor = 1.01;    // per response in time; stable if one response in six is late
+constexpr double kLateHitFactor = 0.95;   // per late hit
+constexpr double kLateFillFactor = 0.97;  // per late fill; without congestion one remote fill in four is late
+constexpr double kRejectionFactor = 0.9;  // per rejection
+constexpr double kLateRateWeight = 0.05;  // weight of one response
 
 // The ingress link.
 constexpr double kCongestionThreshold = 0.05;  // share of late fills
-constexpr double kAbandonedFillWeight = 0.6;   // of a fill left during congestion, what runs on
-constexpr double kMaxAbandonedShare = 0.4;     // of the capacity, what such fills take at most
-constexpr Micros kReportLifetime{3'000'000};   // an older report says nothing of now
-constexpr double kReportWeight = 0.3;          // of a new report among those before it
-constexpr double kOpenUtilization = 0.8;       // below it no own load closes the link
-constexpr double kOverfullUtilization = 2;     // above it that part of the fills less is accepted
-constexpr double kMaxUtilization = 1000;       // no link holds so many times what fits
+constexpr double kAbandonedFillWeight = 0.6;   // share of fills abandoned in congestion that still run
+constexpr double kMaxAbandonedShare = 0.4;     // of the capacity, for all abandoned fills together
+constexpr Micros kReportLifetime{3'000'000};   // older reports are ignored
+constexpr double kReportWeight = 0.3;          // weight of a new report in the smoothed utilization
+constexpr double kOpenUtilization = 0.8;       // below this, fills are accepted regardless of the own load
+constexpr double kOverloadUtilization = 2;     // above this, only a share of 2 / utilization is accepted
+constexpr double kMaxUtilization = 1000;       // higher values are impossible and ignored
 
 static double ReductionFactor(ResponseKind kind) {
   if (kind == ResponseKind::kRejection) return kRejectionFactor;
@@ -56,7 +56,7 @@
 
 double CapacityEstimator::InitialCapacity(double cache_count, Senders senders) const {
   const double part = kInitialCacheCapacity * cache_count / servers_.InstanceCount(senders);
-  return std::max(1 / kMinCapacityShare, part + kChanceMargin * std::sqrt(part));
+  return std::max(1 / kMinCapacityShare, part + kMarginStandardDeviations * std::sqrt(part));
 }
 
 void CapacityEstimator::RecordResponse(Load& load, bool is_late, ResponseKind kind) const {
@@ -76,7 +76,7 @@
 bool CapacityEstimator::HasCapacity(const Load& load, const Request& request, double extra) const {
   const double capacity = load.capacity * CapacityShare(request);
   if (load.in_flight + load.expected_fills + extra >= capacity) return false;
-  return capacity >= 1 || AdmissionDraw(request, load.draw_salt) < capacity;
+  return capacity >= 1 || AdmissionDraw(request, load.admission_salt) < capacity;
 }
 
 double CapacityEstimator::CapacityShare(const Request& request) const {
@@ -92,9 +92,9 @@
 bool IngressLink::CanAccept(const Request& request) const {
   const bool is_reported = HasRecentReport();
   if (is_reported && utilization_ < kOpenUtilization) return true;
-  // Told to hold many times what fits, it takes few fills: the capacities that all its instances learn
-  // together never get low enough.
-  if (is_reported && AdmissionDraw(request, load_.draw_salt) * utilization_ > kOverfullUtilization)
+  // A link with a reported overload accepts only a few fills: the capacities that its instances estimate, in
+  // sum, never become low enough.
+  if (is_reported && AdmissionDraw(request, load_.admission_salt) * utilization_ > kOverloadUtilization)
     return false;
   const double abandoned = abandoned_fills_.Value(context_.now, WorkTimeConstant(context_.settings));
   return capacity_.HasCapacity(load_, request, abandoned);
@@ -112,8 +112,8 @@
 void IngressLink::RecordAbandonedFill(double fill_probability) {
   const double abandoned = abandoned_fills_.Value(context_.now, WorkTimeConstant(context_.settings));
   if (!IsCongested() || abandoned >= kMaxAbandonedShare * load_.capacity) return;
-  const double running_on = kAbandonedFillWeight * fill_probability;
-  abandoned_fills_.Add(running_on, context_.now, WorkTimeConstant(context_.settings));
+  const double still_running = kAbandonedFillWeight * fill_probability;
+  abandoned_fills_.Add(still_running, context_.now, WorkTimeConstant(context_.settings));
 }
 
 bool IngressLink::IsCongested() const { return load_.late_rate.Value() > kCongestionThreshold; }
--- a/src/routing/context.hpp
+++ b/src/routing/context.hpp
@@ -1,4 +1,4 @@
-// What the units of one Router share: its settings, its clock and where its actions go.
+// The settings, clock and action output that the components of one Router share.
 #pragma once
 
 #include <utility>
@@ -9,9 +9,9 @@
 
 struct Context {
   Settings settings;
-  Micros now{0};               // the current event's time; never steps back
+  Micros now{0};               // time of the current event; never decreases
   Micros started_at{0};        // when this Router started
-  Actions* actions = nullptr;  // the current event's, owned by the caller of Router::Handle
+  Actions* actions = nullptr;  // output of the current event; owned by the caller of Router::Handle
 
   template <class Kind>
   void Emit(Kind action) {
--- a/src/routing/copy_statistics.cpp
+++ b/src/routing/copy_statistics.cpp
@@ -7,20 +7,20 @@
 
 namespace tinspan {
 
-constexpr int kFilters = 4;                         // k: the design's value
-constexpr Micros kSlideInterval{2'000'000};         // tau: the design's value
-constexpr std::size_t kPlacesPerFilter = 1U << 12;  // many times what one cache gets in tau
-constexpr int kHashFunctions = 3;                   // false positives of some in a thousand
+constexpr int kFilters = 4;                          // k, as in the design
+constexpr Micros kSlideInterval{2'000'000};          // tau, as in the design
+constexpr std::size_t kBucketsPerFilter = 1U << 12;  // many times the requests that a cache gets in tau
+constexpr int kHashFunctions = 3;                    // gives a few false positives per thousand lookups
 constexpr auto kMaxCount = std::numeric_limits<std::uint8_t>::max();
-constexpr int kSummaryValues = 64;    // summary values told apart
-constexpr double kInitialHits = 0.5;  // before any answer: one half, which one answer moves by much
+constexpr int kSummaryValues = 64;    // number of distinct summary values
+constexpr double kInitialHits = 0.5;  // initial probability 1/2, which the first lookup changes strongly
 constexpr double kInitialLookups = 1;
-constexpr double kMaxLookups = 64;  // beyond it both counts are halved, to follow change
+constexpr double kMaxLookups = 64;  // above this, both counts are halved so that the share follows changes
 
-EvolutiveCounter::EvolutiveCounter() : filters_(kFilters, std::vector<std::uint8_t>(kPlacesPerFilter)) {}
+EvolutiveCounter::EvolutiveCounter() : filters_(kFilters, std::vector<std::uint8_t>(kBucketsPerFilter)) {}
 
-std::size_t EvolutiveCounter::Place(std::uint64_t key, int hash_number) {
-  return MixHash(key, hash_number) % kPlacesPerFilter;
+std::size_t EvolutiveCounter::BucketIndex(std::uint64_t key, int hash_number) {
+  return MixHash(key, hash_number) % kBucketsPerFilter;
 }
 
 void EvolutiveCounter::Slide(Micros now) {
@@ -35,7 +35,7 @@
 
 void EvolutiveCounter::Count(std::uint64_t key) {
   for (int i = 0; i < kHashFunctions; ++i) {
-    std::uint8_t& count = filters_[head_][Place(key, i)];
+    std::uint8_t& count = filters_[head_][BucketIndex(key, i)];
     if (count < kMaxCount) ++count;
   }
 }
@@ -43,10 +43,10 @@
 int EvolutiveCounter::Summary(std::uint64_t key) const {
   int summary = std::numeric_limits<int>::max();
   for (int i = 0; i < kHashFunctions; ++i) {
-    const std::size_t place = Place(key, i);
+    const std::size_t bucket = BucketIndex(key, i);
     int sum = 0;
     for (int age = 0; age < kFilters; ++age) {
-      sum += (kFilters - age) * filters_[(head_ + kFilters - age) % kFilters][place];
+      sum += (kFilters - age) * filters_[(head_ + kFilters - age) % kFilters][bucket];
     }
     summary = std::min(summary, sum);
   }
--- a/src/routing/copy_statistics.hpp
+++ b/src/routing/copy_statistics.hpp
@@ -1,5 +1,5 @@
-// The design's statistics of copies: evolutive summary counters of what a cache was sent lately, and Pfreq,
-// how likely a copy is found.
+// Statistics of cached copies, as the design defines them: evolutive summary counters of the requests that a
+// cache got recently, and Pfreq, the probability that a copy is found.
 #pragma once
 
 #include <cstdint>
@@ -9,32 +9,32 @@
 
 namespace tinspan {
 
-// A ring of k count filters (Bloom filters whose places count). The head counts what is sent now; every tau
-// the oldest filter is cleared and becomes the head, so that counts look back k * tau. Counts may be too
-// high, by objects that share places, and are never too low, but for saturation.
+// A ring of k counting Bloom filters. Requests are counted in the head; every tau the oldest filter is
+// cleared and becomes the head, so that the counts cover the last k * tau. A count may be too high because
+// objects share buckets; it is too low only after saturation.
 class EvolutiveCounter {
  public:
   EvolutiveCounter();
 
-  // Clears the filters whose time has passed. To be called before Count or Summary.
+  // Advances the ring to the current time and clears expired filters. Call it before Count or Summary.
   void Slide(Micros now);
 
-  // Counts one request for the copy with this key. A full place stays full.
+  // Counts one request for the copy with this key. Buckets saturate at their maximum.
   void Count(std::uint64_t key);
 
-  // The linear summary of a copy's counts: the newest filter weighs k, the oldest 1.
+  // The weighted sum of a copy's counts: the newest filter has weight k, the oldest weight 1.
   int Summary(std::uint64_t key) const;
 
  private:
-  // A key's place in a filter, by the number of the hash function.
-  static std::size_t Place(std::uint64_t key, int hash_number);
+  // Index of a key's bucket in a filter for one of the hash functions.
+  static std::size_t BucketIndex(std::uint64_t key, int hash_number);
 
   std::vector<std::vector<std::uint8_t>> filters_;
   int head_ = 0;
-  std::int64_t epoch_ = 0;  // number of the head's tau since the clock's origin
+  std::int64_t epoch_ = 0;  // index of the head's tau interval since the clock's origin
 };
 
-// The share of lookups that hit, with more weight on recent ones. Starts at one half.
+// The share of lookups that are hits; recent lookups have more weight. Starts at 0.5.
 class HitProbability {
  public:
   HitProbability();
@@ -47,7 +47,7 @@
   double lookups_;
 };
 
-// One probability for each value of an evolutive counter's summary; large values share the last.
+// One probability for each summary value of an evolutive counter; large values share the last entry.
 class HitProbabilityBySummary {
  public:
   HitProbabilityBySummary();
@@ -59,9 +59,9 @@
 };
 
 struct HitStatistics {
-  HitProbabilityBySummary sibling_fills;  // Pfreq: fills that a sibling could serve, by its summary
-  HitProbabilityBySummary cache_hits;     // attempts that needed no fill, by the cache's own summary
-  HitProbability parent_hits;             // fills that a parent held itself
+  HitProbabilityBySummary sibling_fills;  // Pfreq: that a sibling can serve a fill, by its summary
+  HitProbabilityBySummary cache_hits;     // that an attempt needs no fill, by the cache's own summary
+  HitProbability parent_hits;             // that a parent has the copy that a fill requests
 };
 
 }  // namespace tinspan
--- a/src/routing/dispatcher.cpp
+++ b/src/routing/dispatcher.cpp
@@ -8,10 +8,10 @@
 namespace tinspan {
 
 constexpr double kLikelyProbability = 0.5;
-constexpr double kLocalOverloadFactor = 1.5;  // own requests at a cache over its fair part: overloaded
-constexpr double kMinLocalOverload = 4;       // so few own requests are never too many
-constexpr std::uint8_t kFirstRank = 1;        // to cache a copy that was not asked for lately
-constexpr std::uint8_t kRepeatedRank = 2;
+constexpr double kLocalOverloadFactor = 1.5;  // multiple of the fair share of own requests
+constexpr double kMinLocalOverload = 4;       // own requests; fewer never count as overload
+constexpr std::uint8_t kFirstRank = 1;        // cache priority of a copy without recent requests
+constexpr std::uint8_t kRepeatedRank = 2;     // cache priority of a copy with recent requests
 
 bool IsFillLikely(const Attempt& attempt) { return attempt.fill_probability > kLikelyProbability; }
 bool IsIngressLikely(const Attempt& attempt) { return attempt.ingress_probability > kLikelyProbability; }
@@ -22,12 +22,12 @@
   const auto try_preferred = [&](ServerIndex index) { return IsPreferred(request, index) && try_any(index); };
   const auto try_healthy = [&](ServerIndex index) { return IsHealthy(request, index) && try_any(index); };
   return std::ranges::any_of(caches, try_preferred) || std::ranges::any_of(caches, try_healthy) ||
-         SendPastCaches(request) || std::ranges::any_of(caches, try_any);
+         BypassCaches(request) || std::ranges::any_of(caches, try_any);
 }
 
 bool Dispatcher::WasTried(const Request& request, ServerIndex index) {
-  return std::ranges::any_of(request.attempts, [&](const Attempt& one) {
-    return one.server == index && one.sibling_summary == 0 && !one.was_reset;
+  return std::ranges::any_of(request.attempts, [&](const Attempt& attempt) {
+    return attempt.server == index && attempt.sibling_summary == 0 && !attempt.was_reset;
   });
 }
 
@@ -52,7 +52,7 @@
   return server.load.in_flight > std::max(kMinLocalOverload, limit);
 }
 
-bool Dispatcher::SendPastCaches(Request& request) {
+bool Dispatcher::BypassCaches(Request& request) {
   const bool has_healthy_cache = std::ranges::any_of(request.cache_order, [&](ServerIndex index) {
     return IsHealthy(request, index) && state_.slow_start.HasBudget(servers_[index]);
   });
@@ -94,7 +94,7 @@
   attempt.transfer_time = state_.costs.MeanTransferTime(request);
   attempt.own_summary = state_.sources.Summary(index, CopyKey(request.event));
   if (servers_[index].role != Role::kCache) {
-    attempt.ingress_probability = 1;  // the answer itself comes in over the link
+    attempt.ingress_probability = 1;  // the response itself uses the link
     return attempt;
   }
   ChooseSource(request, attempt);
@@ -136,37 +136,38 @@
 }
 
 SendAttempt Dispatcher::MakeAction(const Request& request, const Attempt& attempt) const {
-  const ClassSettings& own_class = request.traffic_class;
+  const ClassSettings& traffic_class = request.traffic_class;
   const Server& server = servers_[attempt.server];
   const Server& source = servers_[attempt.source];
   SendAttempt action{.id = request.event.id, .server = server.endpoint.id, .source = source.endpoint.id};
   action.expires_at = request.deadline;
   action.max_age = MaxAge(request, attempt);
-  if (own_class.is_write) return action;
+  if (traffic_class.is_write) return action;
   if (server.role == Role::kCache) action.cache_rank = attempt.own_summary > 0 ? kRepeatedRank : kFirstRank;
   action.source_cached_only = attempt.is_parent_cached_only;
   if (state_.purges.LatestPurge(request.event)) return action;
-  action.join_fill = context_.settings.can_join_fill;  // after a purge: one under way may be older
-  // Revalidation behind a hit is a fill that no outcome tells of: none at a source that is warming up.
+  action.join_fill = context_.settings.can_join_fill;  // not after a purge: a fill in progress may be older
+  // Background revalidation is a fill that no outcome reports, so it is not used while the source is warming
+  // up.
   const bool is_source_open = !attempt.is_parent_cached_only && !state_.slow_start.IsWarmingUp(source);
-  action.revalidate = own_class.freshness_lifetime > Micros{0} && is_source_open;
+  action.revalidate = traffic_class.freshness_lifetime > Micros{0} && is_source_open;
   return action;
 }
 
 Micros Dispatcher::MaxAge(const Request& request, const Attempt& attempt) const {
-  const ClassSettings& own_class = request.traffic_class;
+  const ClassSettings& traffic_class = request.traffic_class;
   const Server& source = servers_[attempt.source];
   const bool is_source_ejected = source.health.is_ejected && source.role != Role::kCache;
   Micros max_age{0};
-  if ((attempt.is_parent_cached_only || is_source_ejected) && own_class.stale_grace > Micros{0}) {
-    max_age = own_class.freshness_lifetime + own_class.stale_grace;
+  if ((attempt.is_parent_cached_only || is_source_ejected) && traffic_class.stale_grace > Micros{0}) {
+    max_age = traffic_class.freshness_lifetime + traffic_class.stale_grace;
   }
   const std::optional<Micros> purged_at = state_.purges.LatestPurge(request.event);
   if (!purged_at) return max_age;
   const Micros purge_limit =
       std::max(context_.now - *purged_at - context_.settings.event_interval, Micros{1});
-  if (own_class.freshness_lifetime <= Micros{0}) return purge_limit;
-  return std::min(purge_limit, max_age > Micros{0} ? max_age : own_class.freshness_lifetime);
+  if (traffic_class.freshness_lifetime <= Micros{0}) return purge_limit;
+  return std::min(purge_limit, max_age > Micros{0} ? max_age : traffic_class.freshness_lifetime);
 }
 
 void Dispatcher::ScheduleCheck(const Request& request, std::size_t attempt) {
--- a/src/routing/engine.cpp
+++ b/src/routing/engine.cpp
@@ -1,4 +1,4 @@
-// Handles the events of a Router. The interface is include/tinspan/router.hpp; read it first.
+// Implements the event handlers of a Router. The interface is include/tinspan/router.hpp; read it first.
 #include "routing/engine.hpp"
 
 #include <algorithm>
@@ -9,8 +9,8 @@
 
 namespace tinspan {
 
-constexpr double kMaxLateAttemptRate = 0.1;  // above it, being late says nothing against a single server
-constexpr int kResubscribeDelay = 8;         // in connect timeouts, after the endpoint watch broke
+constexpr double kMaxLateAttemptRate = 0.1;  // above this, lateness is no evidence against a single server
+constexpr int kResubscribeDelay = 8;         // in connect timeouts, after the endpoint watch failed
 
 Router::Engine::Engine(const Settings& settings, Micros now, Actions& out) : state_(Validated(settings)) {
   BeginEvent(now, out);
@@ -40,7 +40,7 @@
 }
 
 void Router::Engine::Handle(const RequestEvent& event) {
-  if (requests_.Find(event.id) != nullptr) return;  // a caller's mistake
+  if (requests_.Find(event.id) != nullptr) return;  // duplicate id: a caller error, ignored
   if (ToNumber(event.class_id) >= context_.settings.classes.size()) return context_.Emit(Fail{event.id});
   Request& request = requests_.Add(event);
   const bool is_later_part = request.traffic_class.has_parts && event.part > 0;
@@ -123,17 +123,19 @@
 void Router::Engine::CheckAttempt(Request& request, std::size_t index) {
   Attempt& attempt = request.attempts[index];
   if (!attempt.is_in_flight || attempt.is_cancelled || request.is_ended || request.is_streaming) return;
-  const bool was_silent = recorder_.IsSilent(attempt);
+  const bool was_unresponsive = recorder_.IsUnresponsive(attempt);
   recorder_.RecordLate(attempt);
-  if (!ShouldMove(request, attempt, was_silent)) return dispatcher_.ScheduleCheck(request, index);
+  if (!ShouldCancelLateAttempt(request, attempt, was_unresponsive))
+    return dispatcher_.ScheduleCheck(request, index);
   requests_.Cancel(request, index);
   if (context_.settings.can_hedge) Retry(request);
 }
 
-bool Router::Engine::ShouldMove(const Request& request, const Attempt& attempt, bool was_silent) const {
+bool Router::Engine::ShouldCancelLateAttempt(const Request& request, const Attempt& attempt,
+                                             bool was_unresponsive) const {
   const bool can_repeat = request.traffic_class.effect != Effect::kNonIdempotent;
   if (!can_repeat || !context_.settings.can_cancel || !state_.retries.HasToken()) return false;
-  if (was_silent && state_.late_attempts.Value() < kMaxLateAttemptRate) return true;
+  if (was_unresponsive && state_.late_attempt_rate.Value() < kMaxLateAttemptRate) return true;
   return state_.servers[attempt.server].health.is_ejected || state_.servers[attempt.source].health.is_ejected;
 }
 
--- a/src/routing/engine.hpp
+++ b/src/routing/engine.hpp
@@ -1,4 +1,5 @@
-// The decision module's events: what they do to open requests, and which units decide.
+// Processes the events of the decision module: updates the open requests and calls the components that
+// decide.
 #pragma once
 
 #include "routing/dispatcher.hpp"
@@ -10,20 +11,21 @@
 
 namespace tinspan {
 
-// Owns the open requests and the state that decisions are made from. Events and their contract are those of
-// Router.
+// Implements Router. Owns the open requests and the state on which decisions are based. The contract of each
+// event is documented in tinspan/router.hpp.
 class Router::Engine {
  public:
-  // Throws std::invalid_argument on settings that make no sense; so does Retune.
+  // Throws std::invalid_argument on invalid settings; so does Retune.
   Engine(const Settings& settings, Micros now, Actions& out);
   void Retune(const Settings& settings);
 
-  // To be called before each event: moves the clock, which never steps back, and sets where actions go.
+  // Call this before each event. Advances the clock, which never goes back, and sets the output for actions.
   void BeginEvent(Micros now, Actions& out);
 
   void Handle(const EndpointsEvent& event);
-  // Departure from the design, in classes with parts only: the cache is hashed by object and part, so that a
-  // client's train of parts does not clump at one cache. The parent stays hashed by the object.
+  // Deviation from the design for classes with parts: the cache is selected by the hash of object and part,
+  // so that the consecutive part requests of a client are not all sent to one cache. The parent is still
+  // selected by the hash of the object.
   void Handle(const RequestEvent& event);
   void Handle(const ResponseStartedEvent& event);
   void Handle(const OutcomeEvent& event);
@@ -32,31 +34,34 @@
   void Handle(const PurgeEvent& event);
 
  private:
-  // Forgets a request that has ended and has nothing in flight.
+  // Removes a request that has ended and has no attempt in flight.
   void RemoveIfEnded(RequestId request_id);
 
-  // No other attempt can help: the origin failed, two servers gave an error, or the parent lacks the copy and
-  // may not ask the origin.
+  // Whether no further attempt can succeed: the origin failed, two servers returned an error, or the parent
+  // does not have the copy and must not request it from the origin.
   static bool IsRetryFutile(const Request& request, const Attempt& attempt, const OutcomeEvent& event);
 
   void Execute(const Task& task);
 
-  // Outcomes always come; should the caller lose one, the request is not kept for ever.
+  // Ends a request that is not streaming and schedules its removal, so that it does not stay in memory if the
+  // caller, against its contract, never reports an outcome.
   void OnDeadline(Request& request);
 
-  // An attempt is looked at once its latency objective is past (sooner accuses servers wrongly), then after
-  // each further objective.
+  // Checks a late attempt. Runs when its latency objective has passed (earlier checks would blame servers
+  // wrongly), and again after each further latency objective.
   void CheckAttempt(Request& request, std::size_t index);
 
-  // Only where its server or source looks dead. Where many attempts are late, what all wait for is slow (a
-  // flush, congestion): moved, an attempt would only be asked for once more; its server must be ejected
-  // first.
-  bool ShouldMove(const Request& request, const Attempt& attempt, bool was_silent) const;
+  // Whether to cancel a late attempt so that the request is retried at another server. True only if its
+  // server or source appears to have failed. If many attempts are late, the cause is a shared one (a flush of
+  // all copies, congestion) and a retry would only add a second request; then the server or source must be
+  // ejected first.
+  bool ShouldCancelLateAttempt(const Request& request, const Attempt& attempt, bool was_unresponsive) const;
 
+  // Sends another attempt, or ends the request if the retry budget or the time left does not permit one.
   void Retry(Request& request);
 
-  // The final answer of a request that will not be served: at once, and a rejection where a retry is
-  // harmless.
+  // Gives a request that will not be served its final response at once: Reject if a retry by the client is
+  // harmless, else Fail.
   void Abandon(Request& request);
 
   RoutingState state_;
--- a/src/routing/hash.hpp
+++ b/src/routing/hash.hpp
@@ -1,17 +1,17 @@
-// Hashing that gives the same values on every machine and at every instance.
+// Hash functions whose values are the same on all machines and at all instances.
 #pragma once
 
 #include <cstdint>
 
 namespace tinspan {
 
-// The number behind a strongly typed id.
+// The numeric value of a strongly typed id.
 template <class Identifier>
 constexpr std::uint64_t ToNumber(Identifier identifier) {
   return static_cast<std::uint64_t>(identifier);
 }
 
-// Spreads a value and a salt over 64 bits. Ends with the finalizer of splitmix64 (Steele, Lea and Flood,
+// Hashes a value with a salt to 64 bits. Ends with the finalizer of splitmix64 (Steele, Lea and Flood,
 // "Fast splittable pseudorandom number generators", OOPSLA 2014).
 constexpr std::uint64_t MixHash(std::uint64_t value, std::uint64_t salt) {
   std::uint64_t bits = value * 0x9e3779b97f4a7c15ULL + salt + 0x632be59bd9b4e019ULL;
@@ -20,7 +20,7 @@
   return bits ^ (bits >> 31);
 }
 
-// A hash as a number from 0 to under 1: its upper 53 bits, all that a double holds.
+// Maps a hash to [0, 1). Uses its upper 53 bits, the precision of a double.
 constexpr double ToUnitInterval(std::uint64_t hash) { return static_cast<double>(hash >> 11) * 0x1p-53; }
 
 }  // namespace tinspan
--- a/src/routing/open_requests.hpp
+++ b/src/routing/open_requests.hpp
@@ -1,4 +1,4 @@
-// The requests that have no final answer yet, or attempts in flight.
+// The requests without a final response or with attempts in flight.
 #pragma once
 
 #include <cstdint>
@@ -9,26 +9,26 @@
 
 namespace tinspan {
 
-// Owns the requests' records, by id. References stay valid until the request is removed.
+// Owns the records of the open requests, by id. A reference stays valid until its request is removed.
 class OpenRequests {
  public:
   explicit OpenRequests(Context& context) : context_(context) {}
 
-  // A new record, of a request whose id and class are known to be good.
+  // Adds a record. The caller has checked that the id is not open and that the class exists.
   Request& Add(const RequestEvent& event);
 
-  // Null where no such request is open.
+  // Returns null if no such request is open.
   Request* Find(RequestId request_id);
 
   void Remove(RequestId request_id);
 
-  // Asks the caller to cancel an attempt, or all that are in flight.
+  // Emits CancelAttempt for one attempt, or for all in flight that are not cancelled yet.
   void Cancel(Request& request, std::size_t attempt);
   void CancelAll(Request& request);
 
  private:
   Context& context_;
-  std::unordered_map<std::uint64_t, Request> requests_;  // looked up only, never walked
+  std::unordered_map<std::uint64_t, Request> requests_;  // never iterated: its order is unspecified
 };
 
 }  // namespace tinspan
--- a/src/routing/outcome_recorder.cpp
+++ b/src/routing/outcome_recorder.cpp
@@ -9,11 +9,11 @@
 namespace tinspan {
 namespace {
 
-constexpr double kLateHitRatio = 0.7;   // of the latency objective: later hits say that capacity runs out
-constexpr double kLateFillRatio = 1.0;  // the same for fills, which are slower without any fault
+constexpr double kLateHitRatio = 0.7;   // of the latency objective; later hits show that capacity is short
+constexpr double kLateFillRatio = 1.0;  // the same for fills, which are slower without a fault
 constexpr double kLateWaitRatio = 0.7;  // the same for the wait for a source's first byte
-constexpr double kLateAttemptWeight = 0.05;  // in the rate of late attempts
-constexpr double kMinObjective = 1e-3;       // seconds, as a divisor
+constexpr double kLateAttemptWeight = 0.05;  // weight of one attempt in the rate of late attempts
+constexpr double kMinObjective = 1e-3;       // seconds; avoids a division by 0
 
 bool IsFilled(FillNote note) { return note == FillNote::kFilled || note == FillNote::kFilledViaOrigin; }
 
@@ -53,7 +53,7 @@
                                    const OutcomeEvent& event) {
   Server& server = servers_[attempt.server];
   state_.outliers.RecordSuccess(attempt.server);
-  if (!attempt.was_late) state_.late_attempts.Add(0, kLateAttemptWeight);
+  if (!attempt.was_late) state_.late_attempt_rate.Add(0, kLateAttemptWeight);
   state_.slow_start.RecordWork(server, state_.costs.TransferTime(request));
   if (attempt.HasSource() && IsFilled(event.note)) {
     RecordFill(request, attempt, event);
@@ -75,7 +75,7 @@
   Load& filled_by = is_via_origin ? servers_[*attempt.origin].load : source.load;
   state_.capacity.RecordResponse(filled_by, IsLateFill(request, event), ResponseKind::kFill);
   if (attempt.ingress_probability <= 0) return;
-  // A fill that waited for most of its time speaks of its source, not of the link.
+  // If most of the time was spent waiting for the first byte, the source was slow, not the link.
   const bool has_waited = event.fill_wait && ToSeconds(*event.fill_wait) >= ToSeconds(event.elapsed) / 2;
   state_.ingress.RecordFill(LatencyRatio(request, event) > kLateFillRatio && !has_waited);
 }
@@ -83,13 +83,13 @@
 bool OutcomeRecorder::RecordFillOrigin(const Attempt& attempt, FillNote note) {
   if (!attempt.origin) return false;
   const bool is_via_origin = note == FillNote::kFilledViaOrigin;
-  const bool is_way_known = IsFillWayReported() || attempt.is_parent_cached_only;
+  const bool is_path_known = IsFillPathReported() || attempt.is_parent_cached_only;
   if (is_via_origin) {
     state_.outliers.RecordSuccess(*attempt.origin);
-  } else if (!is_way_known) {
+  } else if (!is_path_known) {
     state_.outliers.RecordSuccess(*attempt.origin, 1 - state_.hits.parent_hits.Value());
   }
-  if (is_way_known) state_.hits.parent_hits.Record(!is_via_origin);
+  if (is_path_known) state_.hits.parent_hits.Record(!is_via_origin);
   return is_via_origin;
 }
 
@@ -121,7 +121,7 @@
       return RecordRejection(attempt, event.note);
     case Outcome::kConnectFailed:
       return state_.outliers.RecordUnreachable(attempt.server);
-    case Outcome::kError:  // for the rest see AttributeErrors
+    case Outcome::kError:  // AttributeErrors records failures
       return state_.outliers.RecordResponsive(attempt.server);
     case Outcome::kReset:
       return state_.outliers.RecordReset(attempt.server, attempt.sent_at);
@@ -133,7 +133,7 @@
 
 void OutcomeRecorder::RecordRejection(const Attempt& attempt, FillNote note) {
   state_.outliers.RecordResponsive(attempt.server);
-  // Without a slot for a fill it is the ingress link that is congested: hits may go on.
+  // If a cache has no free fill slot, the ingress link is congested. Hits are not affected.
   if (note == FillNote::kNoFillSlot) return state_.ingress.RecordRejection();
   state_.capacity.RecordRejection(servers_[attempt.server].load);
 }
@@ -141,14 +141,14 @@
 void OutcomeRecorder::RecordTimeout(const Attempt& attempt) {
   if (!state_.ingress.IsCongested()) return;
   const ServerIndex filled_by = attempt.origin.value_or(attempt.source);
-  const ServerIndex slow = IsFillLikely(attempt) ? filled_by : attempt.server;
-  state_.capacity.Reduce(servers_[slow].load, ResponseKind::kHit);
+  const ServerIndex slow_server = IsFillLikely(attempt) ? filled_by : attempt.server;
+  state_.capacity.Reduce(servers_[slow_server].load, ResponseKind::kHit);
   if (IsIngressLikely(attempt)) state_.ingress.RecordTimeout();
 }
 
 void OutcomeRecorder::RecordMiss(const Attempt& attempt) {
   state_.outliers.RecordSuccess(attempt.server);
-  if (attempt.is_parent_cached_only && !IsFillWayReported()) state_.hits.parent_hits.Record(false);
+  if (attempt.is_parent_cached_only && !IsFillPathReported()) state_.hits.parent_hits.Record(false);
 }
 
 void OutcomeRecorder::RecordSiblingFill(Request& request, const Attempt& attempt, const OutcomeEvent& event) {
@@ -161,16 +161,16 @@
 
 void OutcomeRecorder::RecordLate(Attempt& attempt) {
   if (std::exchange(attempt.was_late, true)) return;
-  state_.late_attempts.Add(1, kLateAttemptWeight);
-  const auto is_silent = [&](ServerIndex index) {
+  state_.late_attempt_rate.Add(1, kLateAttemptWeight);
+  const auto is_unresponsive = [&](ServerIndex index) {
     return !state_.outliers.WasResponsiveSince(index, attempt.sent_at);
   };
-  if (is_silent(attempt.server)) {
+  if (is_unresponsive(attempt.server)) {
     state_.outliers.RecordUnreachable(attempt.server);
-  } else if (attempt.HasSource() && is_silent(attempt.source)) {
+  } else if (attempt.HasSource() && is_unresponsive(attempt.source)) {
     state_.outliers.RecordFailure(attempt.source, attempt.fill_probability);
-  } else if (attempt.origin && IsFillLikely(attempt) && is_silent(*attempt.origin)) {
-    state_.outliers.RecordFailure(*attempt.origin);  // the parent lives, what is behind it does not
+  } else if (attempt.origin && IsFillLikely(attempt) && is_unresponsive(*attempt.origin)) {
+    state_.outliers.RecordFailure(*attempt.origin);  // the parent responds, the origin behind it does not
   }
 }
 
--- a/src/routing/outlier_detector.cpp
+++ b/src/routing/outlier_detector.cpp
@@ -5,13 +5,13 @@
 
 namespace tinspan {
 
-constexpr double kOrdinaryWeight = 0.25;         // of an answer or an error in the failure rate
-constexpr double kUnreachableEvidence = 2;       // times as much: only a dead or silent server gives it
-constexpr double kEjectThreshold = 0.5;          // failure rate, on top of the peers' mean
-constexpr double kMaxEjectThreshold = 0.9;       // with the peers' mean added
+constexpr double kOrdinaryWeight = 0.25;         // weight of a response or an error in the failure rate
+constexpr double kUnreachableEvidence = 2;       // multiple: only a stopped or unresponsive server causes it
+constexpr double kEjectThreshold = 0.5;          // failure rate; the peers' mean is added
+constexpr double kMaxEjectThreshold = 0.9;       // upper limit of the sum
 constexpr double kReadmitThreshold = 0.25;       // failure rate
 constexpr int kMaxProbeBackoff = 8;              // in connect timeouts
-constexpr double kInstancesPerBackoffStep = 16;  // the more probe a server, the longer each waits
+constexpr double kInstancesPerBackoffStep = 16;  // the more instances probe a server, the longer each waits
 
 void OutlierDetector::RecordUnreachable(ServerIndex index) { Record(index, true, kUnreachableEvidence); }
 
@@ -25,9 +25,10 @@
   Server& server = servers_[index];
   Health& health = server.health;
   health.failure_rate += kOrdinaryWeight * evidence * ((is_failure ? 1.0 : 0.0) - health.failure_rate);
-  if (!is_failure && evidence >= 1) RecordResponsive(index);  // a lighter sign may be another's
-  // What most servers show alike (answers lost on the way, congestion) is no reason to eject one; where all
-  // are lost, each still passes the raised threshold.
+  // With less evidence, the response may have come from another server.
+  if (!is_failure && evidence >= 1) RecordResponsive(index);
+  // Failures that most servers have (lost responses, congestion) are no reason to eject one of them. If all
+  // have failed, each still exceeds the raised threshold.
   const double threshold = std::min(kMaxEjectThreshold, kEjectThreshold + MeanFailureRateOfPeers(index));
   if (!health.is_ejected && health.failure_rate > threshold) {
     health.is_ejected = true;
--- a/src/routing/purge_ledger.hpp
+++ b/src/routing/purge_ledger.hpp
@@ -1,4 +1,4 @@
-// The purges that copies must still be checked against.
+// The recent purges, which limit the age of copies.
 #pragma once
 
 #include <cstdint>
@@ -11,24 +11,24 @@
 
 namespace tinspan {
 
-// Remembers the latest purge of each object and group for Settings::purge_retention.
+// Stores the latest purge of each object and group for Settings::purge_retention.
 class PurgeLedger {
  public:
   explicit PurgeLedger(const Context& context) : context_(context) {}
 
   void Record(const PurgeEvent& event);
 
-  // Forgets the purges after which no older copy is left anywhere.
+  // Removes the purges after which no older copy is left at any cache.
   void RemoveExpired();
 
-  // When the request's object, or its group, was purged last; nothing where no purge is remembered.
+  // Clock time of the latest purge of the request's object or group; empty if none is stored.
   std::optional<Micros> LatestPurge(const RequestEvent& event) const;
 
  private:
   using PurgeTimes = std::unordered_map<std::uint64_t, Micros>;
   struct Entry {
     Micros expires_at;
-    bool is_object;  // else a group
+    bool is_object;  // false: a group
     std::uint64_t key;
     Micros purged_at;
   };
@@ -36,7 +36,7 @@
   const Context& context_;
   PurgeTimes objects_;
   PurgeTimes groups_;
-  std::deque<Entry> entries_;  // by order of expiry
+  std::deque<Entry> entries_;  // in order of expiry
 };
 
 }  // namespace tinspan
--- a/src/routing/request_costs.cpp
+++ b/src/routing/request_costs.cpp
@@ -6,9 +6,9 @@
 
 namespace tinspan {
 
-constexpr double kNewRequestWeight = 0.05;  // in the means of requests
-constexpr double kMinTransferTime = 1e-3;   // seconds, as a divisor
-constexpr double kMinValueDensity = 1e-9;   // as a divisor
+constexpr double kNewRequestWeight = 0.05;  // weight of one request in the means
+constexpr double kMinTransferTime = 1e-3;   // seconds; avoids a division by 0
+constexpr double kMinValueDensity = 1e-9;   // avoids a division by 0
 constexpr double kInitialPriorityWeight = 1;
 constexpr double kInitialTransferTime = 1;  // seconds
 
@@ -19,13 +19,14 @@
 
 void RequestCosts::OnSettingsChanged() {
   for (std::size_t i = transfer_times_.size(); i < context_.settings.classes.size(); ++i) {
-    // Until one is seen, a whole latency objective: too high errs on the careful side.
+    // Until the first request, the mean is the latency objective: too high a value is the safe side.
     transfer_times_.emplace_back(ToSeconds(context_.settings.classes[i].latency_objective));
   }
 }
 
 void RequestCosts::RecordRequest(const Request& request) {
-  if (TransferTime(request) > ToSeconds(request.traffic_class.deadline)) return;  // no measure for others
+  // A request that cannot be sent before its deadline would distort the means.
+  if (TransferTime(request) > ToSeconds(request.traffic_class.deadline)) return;
   priority_weight_.Add(request.traffic_class.priority_weight, kNewRequestWeight);
   transfer_time_.Add(TransferTime(request), kNewRequestWeight);
   MeanOfClass(request).Add(TransferTime(request), kNewRequestWeight);
@@ -47,9 +48,9 @@
 }
 
 double RequestCosts::LatencyObjective(const Request& request) const {
-  const ClassSettings& own = request.traffic_class;
-  const double stretch = own.latency_objective_stretch * TransferTime(request);
-  return std::min(ToSeconds(own.latency_objective) + stretch, ToSeconds(own.deadline));
+  const ClassSettings& traffic_class = request.traffic_class;
+  const double stretch = traffic_class.latency_objective_stretch * TransferTime(request);
+  return std::min(ToSeconds(traffic_class.latency_objective) + stretch, ToSeconds(traffic_class.deadline));
 }
 
 double RequestCosts::ValueDensity(const Request& request) const {
--- a/src/routing/request_costs.hpp
+++ b/src/routing/request_costs.hpp
@@ -1,4 +1,4 @@
-// What requests cost and what they earn: sending times, latency objectives, priority weights.
+// The cost and value of requests: transfer times, latency objectives and priority weights.
 #pragma once
 
 #include <vector>
@@ -10,30 +10,30 @@
 
 namespace tinspan {
 
-// Learns each class's mean sending time and the mean request of all classes. Times are in seconds.
+// Maintains the mean transfer time of each class and the mean request over all classes. Times are in seconds.
 class RequestCosts {
  public:
   explicit RequestCosts(const Context& context);
 
-  // Settings may have gained classes.
+  // Call this after the settings have changed; they may have new classes.
   void OnSettingsChanged();
 
   void RecordRequest(const Request& request);
 
-  // The sending time of a request whose size is not told, as its answer showed.
+  // Records the measured transfer time of a request of unknown size.
   void RecordTransferTime(const Request& request, Micros elapsed);
 
-  // From the request's size where it is told, else its class's mean.
+  // From the size of the request if known, else the mean of its class.
   double TransferTime(const Request& request) const;
   double MeanTransferTime(const Request& request) const {
     return transfer_times_[ToNumber(request.event.class_id)].Value();
   }
-  double MaxMeanTransferTime() const;  // of all classes
+  double MaxMeanTransferTime() const;  // greatest mean of all classes
 
-  // Within this an answer earns the request's full priority weight.
+  // A response within this time earns the request's full priority weight.
   double LatencyObjective(const Request& request) const;
 
-  // Priority weight that a second of sending the request earns, and the mean request; above 0.
+  // Priority weight per second of transfer time, of the request and of the mean request (always above 0).
   double ValueDensity(const Request& request) const;
   double MeanValueDensity() const;
 
--- a/src/routing/retry_policy.cpp
+++ b/src/routing/retry_policy.cpp
@@ -4,7 +4,7 @@
 
 namespace tinspan {
 
-constexpr double kTokensPerRequest = 0.3;
+constexpr double kTokensPerRequest = 0.3;  // a retry costs one token
 constexpr double kMaxTokens = 20;
 
 RetryBudget::RetryBudget() : tokens_(kMaxTokens) {}
@@ -16,34 +16,36 @@
   if (request.attempts.size() >= request.max_attempts) return false;
   const bool is_idempotent = request.traffic_class.effect == Effect::kIdempotent;
   if (request.InFlightCount() > 0 && (!context_.settings.can_hedge || !is_idempotent)) return false;
-  return EffectAllows(request, server);
+  return IsAttemptSafe(request, server);
 }
 
-bool AttemptRules::EffectAllows(const Request& request, ServerIndex server) const {
-  const ClassSettings& own = request.traffic_class;
-  if (own.effect == Effect::kIdempotent) return true;
+bool AttemptRules::IsAttemptSafe(const Request& request, ServerIndex server) const {
+  const ClassSettings& traffic_class = request.traffic_class;
+  if (traffic_class.effect == Effect::kIdempotent) return true;
   if (!request.first_executed) return request.InFlightCount() == 0;
-  if (own.effect == Effect::kNonIdempotent) return false;
+  if (traffic_class.effect == Effect::kNonIdempotent) return false;
   const Attempt& first = request.attempts[*request.first_executed];
-  if (context_.now - first.sent_at >= own.idempotency_window) return false;
-  if (own.idempotency_scope == IdempotencyScope::kAll) return true;
+  if (context_.now - first.sent_at >= traffic_class.idempotency_window) return false;
+  if (traffic_class.idempotency_scope == IdempotencyScope::kAll) return true;
   const EndpointInfo& before = servers_[first.server].endpoint;
   const EndpointInfo& next = servers_[server].endpoint;
   if (before.zone != next.zone) return false;
-  return own.idempotency_scope == IdempotencyScope::kZone || before.cell == next.cell;
+  return traffic_class.idempotency_scope == IdempotencyScope::kZone || before.cell == next.cell;
 }
 
 bool AttemptRules::CanReject(const Request& request) {
-  const ClassSettings& own = request.traffic_class;
-  if (own.effect == Effect::kIdempotent) return true;
+  const ClassSettings& traffic_class = request.traffic_class;
+  if (traffic_class.effect == Effect::kIdempotent) return true;
   if (!request.first_executed && request.InFlightCount() == 0) return true;
-  return own.effect == Effect::kIdempotencyKey && own.idempotency_scope == IdempotencyScope::kAll;
+  return traffic_class.effect == Effect::kIdempotencyKey &&
+         traffic_class.idempotency_scope == IdempotencyScope::kAll;
 }
 
 bool AttemptRules::IsRequestAtFault(const Request& request) {
   const auto first = std::ranges::find_if(request.attempts, &Attempt::has_error);
-  return std::any_of(first, request.attempts.end(),
-                     [&](const Attempt& one) { return one.has_error && one.server != first->server; });
+  return std::any_of(first, request.attempts.end(), [&](const Attempt& attempt) {
+    return attempt.has_error && attempt.server != first->server;
+  });
 }
 
 }  // namespace tinspan
--- a/src/routing/retry_policy.hpp
+++ b/src/routing/retry_policy.hpp
@@ -1,4 +1,4 @@
-// Whether a request may be attempted, and attempted again.
+// Decides whether a request may have an attempt or a retry.
 #pragma once
 
 #include "routing/context.hpp"
@@ -7,7 +7,7 @@
 
 namespace tinspan {
 
-// Bounds retries to a share of the requests: a token bucket that each request fills a little.
+// Limits retries to a share of the requests: a token bucket to which each request adds a part of a token.
 class RetryBudget {
  public:
   RetryBudget();
@@ -20,24 +20,25 @@
   double tokens_;
 };
 
-// The rules of the interface on attempts, apart from which server is best.
+// The rules of the interface for attempts. The choice of the best server is the Dispatcher's.
 class AttemptRules {
  public:
   AttemptRules(const Context& context, const ServerTable& servers) : context_(context), servers_(servers) {}
 
-  // Whether the request may be sent to the server now, given the attempts that it had.
+  // Whether the request may be sent to the server now, given its previous attempts.
   bool CanAttempt(const Request& request, ServerIndex server) const;
 
-  // Whether a client that is told to come back does no harm: no effect can happen twice.
+  // Whether the client can safely retry the request: it cannot be executed twice with effect.
   static bool CanReject(const Request& request);
 
-  // Two servers answered with an error: what they were asked is at fault, and no third is asked. Guards
-  // against clients that ask for what nobody can answer, which would eject one server after the other.
+  // Whether two servers returned an error. Then the request itself is taken as the cause and not sent to a
+  // third server. Otherwise clients with requests that no server can serve would get one server after another
+  // ejected.
   static bool IsRequestAtFault(const Request& request);
 
  private:
-  // Where the next attempt may go, given what may have been executed already.
-  bool EffectAllows(const Request& request, ServerIndex server) const;
+  // Whether the effect of the request permits an attempt at the server, given what may have been executed.
+  bool IsAttemptSafe(const Request& request, ServerIndex server) const;
 
   const Context& context_;
   const ServerTable& servers_;
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -1,11 +1,11 @@
-// Router's public calls, passed on to its engine. Nothing is decided here.
+// Forwards the public calls of Router to its engine.
 #include "tinspan/router.hpp"
 
 #include "routing/engine.hpp"
 
 namespace tinspan {
 
-// The seed is not needed: no decision is drawn at random.
+// The seed is unused: no decision is random.
 Router::Router(const Settings& settings, std::uint64_t, Micros now, Actions& out)
     : engine_(std::make_unique<Engine>(settings, now, out)) {}
 
--- a/src/routing/routing_state.hpp
+++ b/src/routing/routing_state.hpp
@@ -1,4 +1,4 @@
-// All that one Router keeps, but for its open requests: wired together in one place.
+// The state of one Router except its open requests; connects the components.
 #pragma once
 
 #include "routing/averages.hpp"
@@ -16,7 +16,7 @@
 
 namespace tinspan {
 
-// The units refer to each other, so the state stays where it was made.
+// Not copyable or movable, since the components hold references to each other.
 struct RoutingState {
   explicit RoutingState(const Settings& settings) : context{.settings = settings} {}
   RoutingState(const RoutingState&) = delete;
@@ -37,7 +37,7 @@
   SourceSelector sources{context, servers, outliers, slow_start, purges, hits};
   AttemptRules rules{context, servers};
   RetryBudget retries;
-  RunningMean late_attempts;  // share of own attempts lately that were in flight past their objective
+  RunningMean late_attempt_rate;  // share of recent own attempts that were past their latency objective
   Schedule schedule{context};
 };
 
--- a/src/routing/schedule.hpp
+++ b/src/routing/schedule.hpp
@@ -1,4 +1,4 @@
-// What a Router must look at again at a later time.
+// The tasks that a Router runs at a later time.
 #pragma once
 
 #include <cstdint>
@@ -10,32 +10,33 @@
 namespace tinspan {
 
 enum class TaskKind {
-  kCheckAttempt,     // an attempt is past its latency objective
-  kRequestDeadline,  // a request must have its final answer
-  kRemoveRequest,    // a request's outcomes are long overdue
-  kResubscribe,      // the endpoint watch broke
+  kCheckAttempt,     // an attempt has passed its latency objective
+  kRequestDeadline,  // a request needs its final response
+  kRemoveRequest,    // outcomes of a request are missing long after its deadline
+  kResubscribe,      // the endpoint watch failed
 };
 
 struct Task {
   TaskKind kind = TaskKind::kCheckAttempt;
-  RequestId request{};      // unless kResubscribe
-  std::size_t attempt = 0;  // kCheckAttempt only
+  RequestId request{};      // unused by kResubscribe
+  std::size_t attempt = 0;  // used by kCheckAttempt only
 };
 
-// Tasks by time, those of one time in the order added. Asks for one timer, for the first of them.
+// A queue of tasks by due time; tasks due at the same time run in the order added. Requests one timer, for
+// the first task.
 class Schedule {
  public:
   explicit Schedule(Context& context) : context_(context) {}
 
   void Add(Micros due_at, const Task& task);
 
-  // The timer has come due: no other is set.
+  // Call this when the timer has expired. No other timer is set then.
   void OnTimer() { timer_at_ = Micros::max(); }
 
-  // Takes out the next task that is due.
+  // Removes and returns the next task that is due; empty if there is none.
   std::optional<Task> PopDue();
 
-  // Asks for a timer where the first task comes before the one that is set.
+  // Requests a timer if the first task is due before the timer that is set.
   void SetNextTimer();
 
  private:
@@ -43,7 +44,8 @@
     Micros due_at;
     std::uint64_t serial;
     Task task;
-    bool operator<(const Entry& other) const;  // of two, the later one is less urgent, thus less
+    // A later task is less, so that the top of the queue is the earliest one.
+    bool operator<(const Entry& other) const;
   };
 
   Context& context_;
--- a/src/routing/server.hpp
+++ b/src/routing/server.hpp
@@ -1,4 +1,4 @@
-// What a Router remembers of one server. Plain records: the units that decide from them are named beside.
+// The records of one server. Each names the component that maintains it.
 #pragma once
 
 #include <cstddef>
@@ -13,23 +13,24 @@
 
 using ServerIndex = std::size_t;  // a server's slot in the ServerTable
 
-enum class Role { kCache, kParent, kOrigin, kRemoteCache };  // kRemoteCache: of another location
+enum class Role { kCache, kParent, kOrigin, kRemoteCache };  // kRemoteCache: a cache of another location
 inline constexpr std::size_t kRoleCount = 4;
 
-// Which instances send requests to a server: those of this Router's location, or all.
+// The instances that send requests to a server: those of this Router's location, or all.
 enum class Senders { kOwnZone, kAllZones };
 
-// Own requests outstanding, and how many were seen to be borne at once (CapacityEstimator).
+// This instance's outstanding requests at a server, and the estimate of how many it can handle at a time
+// (CapacityEstimator).
 struct Load {
-  Senders senders = Senders::kOwnZone;  // whose requests the server's whole capacity serves
-  std::uint64_t draw_salt = 0;          // of AdmissionDraw: the server's id; 0, no server's, for the link
-  int in_flight = 0;                    // own attempts sent there
-  double expected_fills = 0;            // fills that own attempts will ask of it, as expected
-  double capacity = 0;                  // own requests (fills, at a source) borne at once; 0: not set yet
-  RunningMean late_rate{};              // share of its answers that came late
+  Senders senders = Senders::kOwnZone;  // the instances that share the server's capacity
+  std::uint64_t admission_salt = 0;     // for AdmissionDraw: the server's id, or 0 (no server's) for the link
+  int in_flight = 0;                    // own attempts sent to the server
+  double expected_fills = 0;  // expected number of fills that own attempts in flight request from it
+  double capacity = 0;        // concurrent own requests, or fills at a source; 0: not set yet
+  RunningMean late_rate{};    // share of late responses
 };
 
-// Whether a server answers (OutlierDetector).
+// The health of a server (OutlierDetector).
 struct Health {
   double failure_rate = 0;
   bool is_ejected = false;  // gets health probes only
@@ -39,9 +40,9 @@
   int probe_backoff = 1;  // in connect timeouts
 };
 
-// What may be sent to a server that warms up (SlowStartBudget).
+// The budget of a server that is warming up (SlowStartBudget).
 struct SlowStart {
-  double budget = 0;  // seconds of sending time
+  double budget = 0;  // transfer time in seconds
   Micros updated_at{0};
 };
 
@@ -52,11 +53,11 @@
   Load load;
   Health health;
   SlowStart slow_start;
-  DecayingSum work;                           // sending time asked of it, seconds
-  std::unique_ptr<EvolutiveCounter> counter;  // of the copies sent there to be cached; own caches only
+  DecayingSum recent_work;                    // transfer time of recent work, seconds
+  std::unique_ptr<EvolutiveCounter> counter;  // of the copies it was sent to cache; null: not an own cache
 };
 
-// Whether a server may be sent new requests at all.
+// Whether a server may get new requests.
 inline bool IsUsable(const Server& server) {
   return server.is_known && server.endpoint.availability == Availability::kUp;
 }
--- a/src/routing/server_table.cpp
+++ b/src/routing/server_table.cpp
@@ -6,8 +6,8 @@
 
 namespace tinspan {
 
-constexpr std::size_t kMinSlotsToReuse = 256;  // smaller tables remember departed servers
-constexpr double kNoFills = 1e-9;              // sums of probabilities seldom come back to 0 exactly
+constexpr std::size_t kMinSlotsToReuse = 256;  // smaller tables keep the records of removed servers
+constexpr double kNegligibleFills = 1e-9;      // sums of probabilities rarely return to exactly 0
 
 void ServerTable::Apply(const EndpointsEvent& event) {
   if (event.kind != EndpointsEvent::Kind::kDelta) {
@@ -34,13 +34,13 @@
   server.role = RoleOf(endpoint);
   const bool is_shared = server.role == Role::kParent || server.role == Role::kOrigin;
   server.load.senders = is_shared ? Senders::kAllZones : Senders::kOwnZone;
-  server.load.draw_salt = ToNumber(endpoint.id);
+  server.load.admission_salt = ToNumber(endpoint.id);
   if (server.role == Role::kCache && !server.counter) server.counter = std::make_unique<EvolutiveCounter>();
 }
 
 bool ServerTable::HasDeparted(const Server& server) {
   return server.endpoint.availability == Availability::kRemoved && server.load.in_flight == 0 &&
-         server.load.expected_fills < kNoFills;
+         server.load.expected_fills < kNegligibleFills;
 }
 
 Role ServerTable::RoleOf(const EndpointInfo& endpoint) const {
@@ -54,7 +54,7 @@
   for (const ServerIndex index : Listed(role)) {
     const Server& server = servers_[index];
     const std::uint64_t hash = MixHash(ToNumber(object), ToNumber(server.endpoint.id));
-    const double unit = ToUnitInterval(hash) + 0x1p-54;  // the middle of its step: never 0
+    const double unit = ToUnitInterval(hash) + 0x1p-54;  // the middle of the interval, so never 0
     scored.emplace_back(-std::log(unit) / Weight(server), index);
   }
   std::sort(scored.begin(), scored.end());
@@ -80,7 +80,8 @@
   const std::size_t zone = ToNumber(settings.zone);
   const bool is_listed = senders == Senders::kOwnZone && zone < settings.zone_instance_counts.size();
   const std::uint32_t own_zone = is_listed ? settings.zone_instance_counts[zone] : 0;
-  // Settings that list no instance in our own location are wrong, since we are one: then count all.
+  // Settings with no instance in this location are wrong, since this instance is there; then all instances
+  // are counted.
   return std::max(1U, own_zone > 0 ? own_zone : settings.instance_count);
 }
 
--- a/src/routing/server_table.hpp
+++ b/src/routing/server_table.hpp
@@ -1,4 +1,4 @@
-// The servers that a Router knows, by slot, id and role.
+// The servers known to a Router, by slot, id and role.
 #pragma once
 
 #include <array>
@@ -12,45 +12,46 @@
 
 namespace tinspan {
 
-// Owns the servers' records. A server keeps its slot while it is known; references to records are void
-// after Apply.
+// Owns the records of the servers. A server keeps its slot while it is known. Apply invalidates references to
+// records.
 class ServerTable {
  public:
   explicit ServerTable(const Context& context) : context_(context) {}
 
-  // Takes in a change of the endpoint list or a whole list.
+  // Applies a change of the endpoint list or a complete list.
   void Apply(const EndpointsEvent& event);
 
-  // By index, free slots included.
+  // Access by index, including free slots.
   Server& operator[](ServerIndex index) { return servers_[index]; }
   const Server& operator[](ServerIndex index) const { return servers_[index]; }
   std::vector<Server>& All() { return servers_.Values(); }
 
-  // Usable servers of a role, by slot. Made anew when endpoints change, so that a request's cost follows
-  // its location's size and not the fleet's.
+  // Usable servers of a role, by slot. Rebuilt when endpoints change, so that the cost of a request depends
+  // on the size of its location and not on that of the fleet.
   const std::vector<ServerIndex>& Listed(Role role) const { return listed_[static_cast<std::size_t>(role)]; }
 
-  // The origin, where one is listed.
+  // The origin; empty if none is listed.
   std::optional<ServerIndex> Origin() const {
     const std::vector<ServerIndex>& origins = Listed(Role::kOrigin);
     return origins.empty() ? std::nullopt : std::optional(origins.front());
   }
 
-  // Usable servers of a role by weighted rendezvous hashing (Thaler and Ravishankar, 1998): in the same
-  // order at all instances, and few objects move when a server comes or goes.
+  // Usable servers of a role in the order of weighted rendezvous hashing (Thaler and Ravishankar, 1998). The
+  // order is the same at all instances, and few objects move when a server is added or removed.
   std::vector<ServerIndex> RendezvousOrder(Role role, ObjectId object) const;
 
-  // The size that the endpoint list tells of a server, in transfers at once; 0 where it tells none.
+  // The capacity of a server in concurrent transfers, from the endpoint list; 0 if the list has none.
   double AdvertisedCapacity(const Server& server) const;
 
-  // A server's part in its role: its advertised capacity, or 1.
+  // The weight of a server within its role: its advertised capacity, or 1 if unknown.
   double Weight(const Server& server) const;
 
-  // How many instances share a server: those of our own location, or all. At least 1.
+  // The number of instances that share a server: those of this location, or all. At least 1.
   double InstanceCount(Senders senders) const;
 
  private:
-  // A restarted server is empty, cold and blameless; own requests there and its size stay what they were.
+  // Adds or updates a server. After a restart its statistics and health are reset; the load of own requests
+  // and the estimated capacity stay.
   void Update(const EndpointInfo& endpoint);
   Role RoleOf(const EndpointInfo& endpoint) const;
   static bool HasDeparted(const Server& server);
--- a/src/routing/settings_validation.hpp
+++ b/src/routing/settings_validation.hpp
@@ -1,11 +1,11 @@
-// Whether settings make sense at all; nothing is decided here.
+// Checks settings for invalid values.
 #pragma once
 
 #include "tinspan/router.hpp"
 
 namespace tinspan {
 
-// Gives its argument back, or throws std::invalid_argument naming what makes no sense.
+// Returns its argument. Throws std::invalid_argument with the name of the invalid setting.
 const Settings& Validated(const Settings& settings);
 
 }  // namespace tinspan
--- a/src/routing/slot_map.hpp
+++ b/src/routing/slot_map.hpp
@@ -1,4 +1,4 @@
-// A map whose values keep their place in a vector while they are in it.
+// A map whose values are stored in a vector and keep their index.
 #pragma once
 
 #include <algorithm>
@@ -10,12 +10,12 @@
 
 namespace tinspan {
 
-// Values by key, each in a slot with a number that stays its own; freed slots are used again, lowest first,
-// and hold a new value until then. References are void after FindOrAdd.
+// Values by key. Each is in a slot whose number does not change while the key is present. Free slots hold a
+// default value and are reused, lowest first. FindOrAdd invalidates references.
 template <class Value>
 class SlotMap {
  public:
-  // The slot of a key; a key that is not there gets a slot with a new value.
+  // Returns the slot of a key; adds a default value if the key is not present.
   std::size_t FindOrAdd(std::uint64_t key) {
     const auto known = slots_.find(key);
     if (known != slots_.end()) return known->second;
@@ -30,7 +30,7 @@
     return slot;
   }
 
-  // Frees the slots in use whose value answers to the predicate.
+  // Frees the used slots whose values satisfy the predicate.
   template <class Predicate>
   void EraseIf(Predicate predicate) {
     for (std::size_t slot = 0; slot < values_.size(); ++slot) {
@@ -41,7 +41,7 @@
     }
   }
 
-  // By slot, free ones included.
+  // Access by slot, including free slots.
   Value& operator[](std::size_t slot) { return values_[slot]; }
   const Value& operator[](std::size_t slot) const { return values_[slot]; }
   std::vector<Value>& Values() { return values_; }
--- a/src/routing/slow_start_budget.cpp
+++ b/src/routing/slow_start_budget.cpp
@@ -7,25 +7,26 @@
 
 namespace tinspan {
 
-constexpr double kOverloadShare = 0.5;       // of what would overload the server, what all instances send
-constexpr double kBurstShare = 0.25;         // of one overload window's budget, what may be saved up
-constexpr double kRoughCapacityShare = 0.7;  // of a roughly told capacity, what is counted on
-constexpr double kWarmRateWeight = 0.05;     // of what a warm server gets now
-constexpr double kOverloadWindowsRemembered = 4;     // what happens in one window must not be forgotten in it
-constexpr double kMinOverloadWindow = 0.5;           // seconds; shorter ones see too few requests
-constexpr double kMinWarmUpTime = 1e-3;              // seconds, as a divisor
-constexpr double kGoldenRatio = 0.6180339887498949;  // its multiples spread evenly over the unit interval
+constexpr double kOverloadLimitShare = 0.5;  // of the overload limit, for all instances together
+constexpr double kBurstShare = 0.25;  // of the budget of one overload window, the most that can accumulate
+constexpr double kRoughCapacityShare = 0.7;          // of an approximate capacity, the part that is relied on
+constexpr double kWarmRateWeight = 0.05;             // weight of the current rate of a warm server
+constexpr double kOverloadWindowsRemembered = 4;     // so that work does not decay much within one window
+constexpr double kMinOverloadWindow = 0.5;           // seconds; shorter windows contain too few requests
+constexpr double kMinWarmUpTime = 1e-3;              // seconds; avoids a division by 0
+constexpr double kGoldenRatio = 0.6180339887498949;  // its multiples modulo 1 are evenly spread
 
 double WorkTimeConstant(const Settings& settings) {
   return kOverloadWindowsRemembered * std::max(ToSeconds(settings.overload_window), kMinOverloadWindow);
 }
 
 SlowStartBudget::Limits SlowStartBudget::LimitsOf(const Server& server) const {
-  const Settings& all = context_.settings;
+  const Settings& settings = context_.settings;
   if (server.role == Role::kParent) {
-    return {all.parent_initial_capacity_share, all.parent_warm_up_time, all.parent_overload_multiple};
+    return {settings.parent_initial_capacity_share, settings.parent_warm_up_time,
+            settings.parent_overload_multiple};
   }
-  return {all.initial_capacity_share, all.warm_up_time, all.overload_multiple};
+  return {settings.initial_capacity_share, settings.warm_up_time, settings.overload_multiple};
 }
 
 double SlowStartBudget::CapacityShare(const Server& server) const {
@@ -37,7 +38,7 @@
   return std::min(1.0, initial + (1 - initial) * uptime / warm_up_time);
 }
 
-double SlowStartBudget::OwnPartOfCapacity(const Server& server) const {
+double SlowStartBudget::OwnCapacityQuota(const Server& server) const {
   const double advertised = servers_.AdvertisedCapacity(server);
   if (advertised <= 0) return WarmWorkRate(server.role).Value();
   const bool is_rough = context_.settings.weight_meaning == WeightMeaning::kRough;
@@ -52,27 +53,27 @@
   for (const ServerIndex index : servers_.Listed(role)) {
     const Server& server = servers_[index];
     if (IsWarmingUp(server) || server.health.is_ejected) continue;
-    rate += server.work.Value(context_.now, time_constant) / time_constant;
+    rate += server.recent_work.Value(context_.now, time_constant) / time_constant;
     ++warm_servers;
   }
   if (warm_servers > 0) WarmWorkRate(role).Add(rate / warm_servers, kWarmRateWeight);
 }
 
-void SlowStartBudget::OpenBudget(Server& server) const {
-  const Micros opened_at = std::max(server.endpoint.started_at, context_.started_at);
-  if (server.slow_start.updated_at >= opened_at) return;
-  const double own_place = kGoldenRatio * (context_.settings.instance_index + 1.0);
-  const double place = own_place + ToUnitInterval(MixHash(ToNumber(server.endpoint.id), 0));
-  server.slow_start.budget = -(place - std::floor(place)) * costs_.MaxMeanTransferTime();
-  server.slow_start.updated_at = opened_at;
+void SlowStartBudget::InitializeBudget(Server& server) const {
+  const Micros accrues_from = std::max(server.endpoint.started_at, context_.started_at);
+  if (server.slow_start.updated_at >= accrues_from) return;
+  const double instance_offset = kGoldenRatio * (context_.settings.instance_index + 1.0);
+  const double offset = instance_offset + ToUnitInterval(MixHash(ToNumber(server.endpoint.id), 0));
+  server.slow_start.budget = -(offset - std::floor(offset)) * costs_.MaxMeanTransferTime();
+  server.slow_start.updated_at = accrues_from;
 }
 
 bool SlowStartBudget::HasBudget(Server& server) {
   if (!IsWarmingUp(server)) return true;
-  OpenBudget(server);
+  InitializeBudget(server);
   SlowStart& slow_start = server.slow_start;
-  const double overload_share = std::min(1.0, kOverloadShare * LimitsOf(server).overload_multiple);
-  const double rate = overload_share * CapacityShare(server) * OwnPartOfCapacity(server);
+  const double overload_share = std::min(1.0, kOverloadLimitShare * LimitsOf(server).overload_multiple);
+  const double rate = overload_share * CapacityShare(server) * OwnCapacityQuota(server);
   const double burst = kBurstShare * rate * ToSeconds(context_.settings.overload_window);
   slow_start.budget += rate * ToSeconds(context_.now - slow_start.updated_at);
   slow_start.budget = std::min(slow_start.budget, burst);
--- a/src/routing/slow_start_budget.hpp
+++ b/src/routing/slow_start_budget.hpp
@@ -1,4 +1,4 @@
-// What may be sent to a server that is warming up after its start.
+// Limits the work sent to a server that is warming up after its start (slow start).
 #pragma once
 
 #include <array>
@@ -9,11 +9,12 @@
 
 namespace tinspan {
 
-// How fast work is forgotten, in seconds.
+// Time constant of the decay of recorded work, in seconds.
 double WorkTimeConstant(const Settings& settings);
 
-// Holds this instance's part of what all instances send to a server that is warming up under what would
-// overload it: a token bucket of sending time for each such server, in Server::slow_start.
+// Limits this instance's share of the work that all instances send to a server that is warming up, so that
+// their sum does not overload it: a token bucket of transfer time for each such server, in
+// Server::slow_start.
 class SlowStartBudget {
  public:
   SlowStartBudget(const Context& context, ServerTable& servers, const RequestCosts& costs)
@@ -21,15 +22,15 @@
 
   bool IsWarmingUp(const Server& server) const { return CapacityShare(server) < 1; }
 
-  // Whether a request may be sent: always to a warm server. Refills the budget up to now.
+  // Whether a request may be sent to the server; always true if it is warm. Refills the budget.
   bool HasBudget(Server& server);
 
-  // Adds the sending time, in seconds, that was asked of a server.
+  // Records work, in seconds of transfer time, done by a server.
   void RecordWork(Server& server, double seconds) const {
-    server.work.Add(seconds, context_.now, WorkTimeConstant(context_.settings));
+    server.recent_work.Add(seconds, context_.now, WorkTimeConstant(context_.settings));
   }
 
-  // Learns from the warm servers of a role what one of them gets from this instance.
+  // Updates the mean rate of work that a warm server of the role gets from this instance.
   void UpdateWarmWorkRate(Role role);
 
  private:
@@ -45,22 +46,24 @@
   RunningMean& WarmWorkRate(Role role) { return warm_work_rates_[static_cast<std::size_t>(role)]; }
   Limits LimitsOf(const Server& server) const;
 
-  // The part of its capacity that a server has by now.
+  // The share of its full capacity that a server has at present.
   double CapacityShare(const Server& server) const;
 
-  // This instance's part of a warm server's capacity, in sending time a second. Where sizes are not told,
-  // what warm servers of the role get from us; that is low, since they are not full.
-  double OwnPartOfCapacity(const Server& server) const;
+  // This instance's share of a warm server's capacity, in seconds of transfer time per second. If capacities
+  // are not advertised: the rate that warm servers of the role get from this instance, which is an
+  // underestimate since those are not fully loaded.
+  double OwnCapacityQuota(const Server& server) const;
 
-  // Many instances hear of a start at once. Each begins in debt by its own place among them, up to one
-  // request, so that their first requests come as evenly as their budgets allow, summed over all. What was
-  // not sent before this instance started is not made up for: all that start late would do so at once.
-  void OpenBudget(Server& server) const;
+  // Sets the initial budget after a server's start. Many instances are notified of the start at the same
+  // time. Each begins with a negative budget of up to one request, which depends on its index, so that the
+  // first requests of all instances are spread over time. No budget accrues for the time before this instance
+  // started: instances that start late would all spend it at once.
+  void InitializeBudget(Server& server) const;
 
   const Context& context_;
   ServerTable& servers_;
   const RequestCosts& costs_;
-  std::array<RunningMean, kRoleCount> warm_work_rates_;  // by role; seconds of sending time a second
+  std::array<RunningMean, kRoleCount> warm_work_rates_;  // by role; seconds of transfer time per second
 };
 
 }  // namespace tinspan
--- a/src/routing/source_selector.cpp
+++ b/src/routing/source_selector.cpp
@@ -2,7 +2,7 @@
 
 namespace tinspan {
 
-constexpr double kEpsilon = 0.2;  // the design's value
+constexpr double kEpsilon = 0.2;  // minimum probability, as in the design
 
 std::uint64_t CopyKey(const RequestEvent& event) { return MixHash(ToNumber(event.object), event.part); }
 
@@ -18,7 +18,7 @@
   if (purges_.LatestPurge(request.event)) return std::nullopt;
   std::optional<SiblingChoice> best;
   double all_miss = 1;                                   // probability that no sibling has the copy
-  for (const ServerIndex index : request.cache_order) {  // this order settles ties
+  for (const ServerIndex index : request.cache_order) {  // ties: the first in this order
     if (index == cache || !CanBeSibling(index)) continue;
     const int summary = Summary(index, CopyKey(request.event));
     if (summary == 0) continue;
--- a/src/routing/source_selector.hpp
+++ b/src/routing/source_selector.hpp
@@ -1,4 +1,4 @@
-// Where a cache fills a miss from.
+// Selects the server from which a cache fills a miss.
 #pragma once
 
 #include <cstdint>
@@ -15,12 +15,12 @@
 
 namespace tinspan {
 
-// What a copy is a copy of: one part of an object.
+// The key of a copy: identifies one part of an object.
 std::uint64_t CopyKey(const RequestEvent& event);
 
 struct SiblingChoice {
   ServerIndex server;
-  int summary;  // the sibling's, of the copy; above 0
+  int summary;  // summary of the copy at the sibling; above 0
 };
 
 class SourceSelector {
@@ -34,16 +34,17 @@
         purges_(purges),
         hits_(hits) {}
 
-  // The summary of a copy at a cache; 0 at servers without a counter.
+  // The summary of a copy at a cache; 0 for servers without a counter.
   int Summary(ServerIndex index, std::uint64_t copy_key);
 
-  // The sibling with the highest summary, where the probability of an avoidable miss reaches epsilon.
-  // Departures from the design: no sibling while a purge is remembered (counts stand for void copies), and
-  // none that is ejected or warming up.
+  // The sibling with the highest summary; empty if the probability that any sibling has the copy is below
+  // epsilon. Deviations from the design: no sibling is used while a purge of the copy is stored (the counts
+  // then include invalid copies), nor one that is ejected or warming up.
   std::optional<SiblingChoice> TopSibling(const Request& request, ServerIndex cache);
 
-  // The object's parent in rendezvous order, the next where one is ejected or has no slow-start budget, the
-  // origin where none is left. The cache itself where there is nobody to fill from.
+  // The object's first parent in rendezvous order that has slow-start budget and is not ejected (or is due
+  // for a health probe), else the origin. If the origin is ejected too, an ejected parent. Returns `cache`
+  // itself if there is no server to fill from.
   ServerIndex Upstream(const Request& request, ServerIndex cache);
 
  private:
--- a/src/routing/time_units.hpp
+++ b/src/routing/time_units.hpp
@@ -1,4 +1,4 @@
-// Conversion between the interface's microseconds and seconds as a number.
+// Conversion between the microseconds of the interface and seconds as double.
 #pragma once
 
 #include <cmath>
--- a/tests/routing/capacity_test.cpp
+++ b/tests/routing/capacity_test.cpp
@@ -1,10 +1,11 @@
-// How many requests servers bear, and which are rejected first.
+// Capacity estimation, and which requests are rejected first.
 #include "routing/router_fixture.hpp"
 
 namespace tinspan {
 namespace {
 
-// Sends requests for as many objects, each of which is sent or rejected at once; those sent stay in flight.
+// Requests `object_count` objects. Each request is forwarded or rejected at once; returns the forwarded ones,
+// which stay in flight.
 std::vector<RequestId> SendMany(RouterFixture& fixture, std::uint64_t object_count) {
   std::vector<RequestId> sent;
   for (std::uint64_t object = 1; object <= object_count; ++object) {
@@ -21,7 +22,8 @@
   }
 }
 
-// Guards against overload: what cannot be answered in time is rejected at once, and capacity comes back.
+// Guards against overload: requests that cannot be served in time are rejected at once, and the capacity
+// recovers when responses are fast again.
 TEST(CapacityEstimator, LearnsFromLatencyAndRejectsAtOnceWhatDoesNotFit) {
   RouterFixture fixture;
   fixture.Start();
@@ -35,8 +37,9 @@
   EXPECT_GT(SendMany(fixture, 300).size(), second.size());
 }
 
-// How many requests are sent at once after fills that took `fill`, and attempts cancelled after `cut_off`.
-std::size_t AcceptedAfter(Micros fill, Micros cut_off) {
+// Number of requests forwarded at once after fills that took `fill` and attempts cancelled after
+// `cancelled_after`.
+std::size_t AcceptedAfter(Micros fill, Micros cancelled_after) {
   RouterFixture fixture;
   fixture.Start();
   for (std::uint64_t object = 1000; object < 1006; ++object) {
@@ -44,14 +47,15 @@
   }
   for (const RequestId request : SendMany(fixture, 299)) {
     fixture.Handle(ClientDisconnectedEvent{request});
-    fixture.Complete(request, 0, Outcome::kCancelled, FillNote::kNone, cut_off);
+    fixture.Complete(request, 0, Outcome::kCancelled, FillNote::kNone, cancelled_after);
   }
   fixture.AdvanceTime(20s);
   return SendMany(fixture, 299).size();
 }
 
-// Guards against congestion seen only by its survivors: attempts cut off late reduce the capacity (incident
-// i150e8d), but only where fills come late as well; answers lost on the way must not choke what works.
+// Guards against congestion that only completed responses report: attempts that are cancelled late must
+// reduce the capacity (incident i150e8d), but only if fills are late as well. Lost responses alone must not
+// reduce it.
 TEST(CapacityEstimator, ReducesCapacityByTimeoutsWhereFillsAreLate) {
   EXPECT_LT(AcceptedAfter(900ms, 900ms), AcceptedAfter(900ms, 100ms));
 }
@@ -60,7 +64,7 @@
   EXPECT_EQ(AcceptedAfter(60ms, 900ms), AcceptedAfter(60ms, 100ms));
 }
 
-// How many of 99 requests are sent after nineteen of this size whose clients disconnected.
+// Number of 99 requests that are forwarded after nineteen requests of this size whose clients disconnected.
 std::size_t AcceptedAfterRequestsOf(double size_kb) {
   RouterFixture fixture;
   fixture.Start();
@@ -74,17 +78,18 @@
   return SendMany(fixture, 99).size();
 }
 
-// Guards against a client's figure that is out of all proportion: others would be measured by it.
+// Guards against an unrealistic size from one client distorting the mean by which other requests are judged.
 TEST(CapacityEstimator, IgnoresAnAbsurdSize) {
   EXPECT_LT(AcceptedAfterRequestsOf(50), 99U);
   EXPECT_EQ(AcceptedAfterRequestsOf(50), AcceptedAfterRequestsOf(1e6));
 }
 
-// Guards against spending scarce capacity on what earns little for its sending time.
-TEST(CapacityEstimator, RejectsLittlePriorityWeightForItsSendingTimeFirst) {
+// Guards against scarce capacity being used for requests with a low priority weight per second of transfer
+// time.
+TEST(CapacityEstimator, RejectsLowValueDensityFirst) {
   RouterFixture fixture;
   fixture.Start();
-  for (std::uint64_t object = 1; object < 200; ++object) {  // what requests are usually like
+  for (std::uint64_t object = 1; object < 200; ++object) {  // requests of a typical size
     fixture.Complete(fixture.Send(fixture.Request(object, 400)).id, 0, Outcome::kServed, FillNote::kHit,
                      60ms);
   }
--- a/tests/routing/copy_statistics_test.cpp
+++ b/tests/routing/copy_statistics_test.cpp
@@ -1,4 +1,4 @@
-// Evolutive summary counters and Pfreq, apart from a Router.
+// Evolutive summary counters and Pfreq, tested without a Router.
 #include "routing/copy_statistics.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/routing/dispatcher_test.cpp
+++ b/tests/routing/dispatcher_test.cpp
@@ -1,4 +1,4 @@
-// Which server a request is sent to, and how.
+// Which server a request is sent to, and with which options.
 #include <algorithm>
 
 #include "routing/router_fixture.hpp"
@@ -15,7 +15,7 @@
   EXPECT_TRUE(moved);
 }
 
-// Guards against a client's train of parts clumping at one cache (incident ie147f1).
+// Guards against all consecutive part requests of a client going to one cache (incident ie147f1).
 TEST(Dispatcher, SpreadsPartsOverCachesThatShareAParent) {
   RouterFixture fixture;
   fixture.settings.classes[0].has_parts = true;
@@ -51,7 +51,7 @@
   EXPECT_EQ(sent.source, ServerId{21});
 }
 
-// An origin that fails every fill, under requests for 99 objects.
+// An origin that fails every fill; 99 objects are requested.
 struct FailingOrigin : RouterFixture {
   FailingOrigin() {
     settings.classes[0].freshness_lifetime = 10s;
@@ -71,10 +71,10 @@
 
   std::vector<SendAttempt> attempts;
   std::size_t retry_count = 0;
-  std::vector<std::size_t> rejection_counts;  // by attempt
+  std::vector<std::size_t> rejection_counts;  // one entry per attempt
 };
 
-// Guards against pressing a failing origin further, which is what keeps it down.
+// Guards against further load on a failing origin, which would prevent its recovery.
 TEST(Dispatcher, ProtectsAFailingOriginButForHealthProbes) {
   const FailingOrigin fixture;
   const auto protected_count = std::ranges::count_if(fixture.attempts, &SendAttempt::source_cached_only);
--- a/tests/routing/engine_test.cpp
+++ b/tests/routing/engine_test.cpp
@@ -1,4 +1,4 @@
-// Answers to requests, at their deadlines and at events that fit nothing.
+// Final responses to requests, deadlines, and events that match no state.
 #include <stdexcept>
 
 #include "routing/router_fixture.hpp"
@@ -58,7 +58,7 @@
   fixture.Handle(EndpointsEvent{.kind = EndpointsEvent::Kind::kWatchBroken});
   EXPECT_TRUE(fixture.ActionsOf<Subscribe>().empty());
   EXPECT_NE(fixture.SendAndServe(7).server, ServerId{});
-  fixture.AdvanceTime(4s);  // some connect time-outs later it asks again
+  fixture.AdvanceTime(4s);  // it subscribes again after some connect timeouts
   EXPECT_EQ(fixture.ActionsOf<Subscribe>().size(), 1U);
 }
 
@@ -72,7 +72,7 @@
   EXPECT_NE(fixture.OnlyAttempt().server, sent.server);
 }
 
-TEST(Engine, IgnoresEventsThatFitNothing) {
+TEST(Engine, IgnoresUnmatchedEvents) {
   RouterFixture fixture;
   fixture.Start();
   RequestEvent event = fixture.Request(7);
@@ -88,7 +88,7 @@
   twice.id = sent.id;
   fixture.Handle(twice);
   EXPECT_TRUE(fixture.actions.empty());
-  fixture.now -= 50s;  // a clock that steps back stands still
+  fixture.now -= 50s;  // a clock that goes back is ignored
   EXPECT_GE(fixture.Send(9).expires_at, 104s);
 }
 
@@ -109,15 +109,16 @@
   EXPECT_EQ(fixture.ActionsOf<Reject>().size(), 1U);
 }
 
-// Guards against a fleet that, when all its copies have gone void, cancels what is late everywhere and asks
-// for it once more elsewhere: the second fill waits behind the first.
+// Guards against needless retries after all copies became invalid at once: late attempts are cancelled
+// everywhere and sent to other caches, where the second fill waits behind the first.
 TEST(Engine, MovesNoLateAttemptWhereManyAreLate) {
   for (const bool many_are_late : {false, true}) {
     HitOnlyFixture fixture;
     fixture.Start();
     for (std::uint64_t object = 1; many_are_late && object <= 8; ++object) {
       const SendAttempt late = fixture.Send(object);
-      // Its cache is heard, so it is not silent and not accused; its answer comes late all the same.
+      // The cache responds to another request, so it is not taken as failed; the first response is still
+      // late.
       fixture.AdvanceTime(20ms);
       const RequestEvent same = fixture.Request(object);
       fixture.Handle(same);
--- a/tests/routing/ingress_link_test.cpp
+++ b/tests/routing/ingress_link_test.cpp
@@ -1,4 +1,4 @@
-// How many fills a location takes in at once.
+// How many concurrent fills a location accepts.
 #include <cmath>
 
 #include "routing/router_fixture.hpp"
@@ -6,8 +6,8 @@
 namespace tinspan {
 namespace {
 
-// A location with many parents: their capacities add up to far more than its ingress link carries, and fills
-// that crawl use every fill slot. Guards against scans, flushes and warming caches alike.
+// A location with many parents, whose capacities together are far above that of its ingress link: slow fills
+// would occupy all fill slots. Scans, flushes and warming caches all cause this.
 struct ManyParentsFixture : RouterFixture {
   ManyParentsFixture() { StartWithManyParents(); }
   std::vector<RequestId> FillUp(std::uint64_t from = 1) {
@@ -24,7 +24,7 @@
   ManyParentsFixture fixture;
   const std::size_t first = fixture.FillUp().size();
   EXPECT_GT(first, 0U);
-  EXPECT_LT(first, 30U);  // three caches or forty parents alone would take more
+  EXPECT_LT(first, 30U);  // three caches or forty parents alone would accept more
 }
 
 TEST(IngressLink, ReducesCapacityWhereCachesHaveNoFillSlot) {
@@ -53,10 +53,10 @@
   EXPECT_GT(accepted_after(500ms), accepted_after(20ms));
 }
 
-// Guards against congestion that feeds on itself: fills left alone run on and still use the ingress link.
+// Guards against self-sustaining congestion: abandoned fills continue and still use the ingress link.
 TEST(IngressLink, CountsAbandonedFillsForAWhile) {
   ManyParentsFixture fixture;
-  // Fills are late: congestion, not lost answers.
+  // Late fills, so that later failures count as congestion and not as lost responses.
   for (std::uint64_t object = 2000; object < 2010; ++object) {
     fixture.Complete(fixture.Send(object).id, 0, Outcome::kServed, FillNote::kFilled, 900ms);
   }
@@ -75,8 +75,8 @@
   EXPECT_GT(fixture.FillUp(9000).size(), second.size());
 }
 
-// Guards against clients that withdraw by the hundred: what they leave running is counted, but where it
-// closed the ingress link, no fill would ever tell that it is free again.
+// Guards against hundreds of disconnecting clients: their abandoned fills count as load, but if these blocked
+// the ingress link, no later fill could show that it is free again.
 TEST(IngressLink, IsNeverClosedByAbandonedFills) {
   ManyParentsFixture fixture;
   for (std::uint64_t object = 2000; object < 2010; ++object) {
@@ -91,14 +91,14 @@
   EXPECT_GE(fixture.FillUp(9'000'000).size(), 2U);
 }
 
-// A location of many instances, each of which sends little.
+// A location with many instances, each of which sends few requests.
 struct ManyInstancesFixture : HitOnlyFixture {
   ManyInstancesFixture() {
     settings.instance_count = 100;
     settings.zone_instance_counts = {10, 1};
     StartWithManyParents();
   }
-  // One answer whose report says how full the location's ingress link is.
+  // Serves one request whose load report contains the utilization of the location's ingress link.
   void Report(double link_utilization) {
     const SendAttempt one = Send(next_id + 100'000);
     Handle(OutcomeEvent{.id = one.id,
@@ -118,26 +118,26 @@
   }
 };
 
-// Guards against a hundred instances that each stop at their own few fills while the ingress link that they
-// share is idle.
+// Guards against a hundred instances that each stop at their own small number of fills while their shared
+// ingress link is idle.
 TEST(IngressLink, IsOpenWhileItsReportedUtilizationIsLow) {
   ManyInstancesFixture without_report;
   ManyInstancesFixture idle;
   ManyInstancesFixture full;
   ManyInstancesFixture outdated;
-  const std::size_t own = without_report.FillsAtOnce();
+  const std::size_t unreported = without_report.FillsAtOnce();
   idle.Report(0.2);
   const std::size_t open = idle.FillsAtOnce();
-  EXPECT_GT(open, own);
+  EXPECT_GT(open, unreported);
   EXPECT_GE(open, 9U);
   full.Report(1.5);
-  EXPECT_LE(full.FillsAtOnce(), own);
+  EXPECT_LE(full.FillsAtOnce(), unreported);
   outdated.Report(0.2);
-  outdated.AdvanceTime(5s);  // what a report said seconds ago says nothing of now
-  EXPECT_LE(outdated.FillsAtOnce(), own);
+  outdated.AdvanceTime(5s);  // the report is too old to be used
+  EXPECT_LE(outdated.FillsAtOnce(), unreported);
 }
 
-// Guards against an ingress link with forty times what fits while each of its instances keeps to its
+// Guards against an ingress link with forty times the load it can carry while each instance stays within its
 // own small capacity.
 TEST(IngressLink, AcceptsFewFillsWhileItIsReportedOverfull) {
   std::size_t busy = 0;
@@ -155,8 +155,8 @@
   EXPECT_LT(overfull, busy / 2);
 }
 
-// Guards against one spoilt report that closes the ingress link, or keeps later ones from being heard, for
-// good.
+// Guards against one invalid report that permanently blocks the ingress link or makes later reports
+// ineffective.
 TEST(IngressLink, IgnoresReportsOutOfRange) {
   for (const double bad : {std::nan(""), HUGE_VAL, -HUGE_VAL, 1e300, -5.0}) {
     ManyInstancesFixture fixture;
--- a/tests/routing/invariants_test.cpp
+++ b/tests/routing/invariants_test.cpp
@@ -1,4 +1,5 @@
-// Legal event sequences drawn with a fixed seed; the rules of the interface are checked on what comes out.
+// Valid random event sequences with fixed seeds. The resulting actions are checked against the rules of the
+// interface.
 #include <algorithm>
 #include <map>
 #include <random>
@@ -17,7 +18,7 @@
 struct RequestState {
   RequestEvent event;
   Micros deadline{0};
-  Micros answered_at{-1};  // below 0: not yet
+  Micros answered_at{-1};  // below 0: no final response yet
   std::vector<AttemptState> attempts;
 };
 
@@ -39,10 +40,11 @@
          outcome == Outcome::kNotSent || outcome == Outcome::kMiss;
 }
 
-// One drawn day: steps of requests, outcomes, endpoint changes, purges and time, each checked.
-class DrawnDay {
+// One random scenario: a series of requests, outcomes, endpoint changes, purges and time steps. The actions
+// of each step are checked.
+class RandomScenario {
  public:
-  DrawnDay(unsigned seed, RouterFixture& fixture, RouterFixture* other_instance)
+  RandomScenario(unsigned seed, RouterFixture& fixture, RouterFixture* other_instance)
       : random_(seed), fixture_(fixture), other_instance_(other_instance) {
     fixture_.settings.can_hedge = seed % 2;
     fixture_.settings.can_bypass_cache = seed % 3 == 0;
@@ -57,8 +59,8 @@
     for (const EndpointInfo& endpoint : fixture_.endpoints) availability_[endpoint.id] = Availability::kUp;
   }
 
-  // Plays the day, up to a failed check, and returns all actions as text.
-  std::string Play() {
+  // Runs the scenario until a check fails and returns all actions as text.
+  std::string Run() {
     fixture_.Start();
     if (other_instance_ != nullptr) other_instance_->Start();
     for (int step = 0; step < kSteps && !::testing::Test::HasFailure(); ++step) {
@@ -125,7 +127,7 @@
     CheckActions();
   }
 
-  // In steps of one event interval, so that answers are dated right.
+  // Advances in steps of one event interval, so that final responses get exact times.
   void AdvanceTime() {
     const Micros end = fixture_.now + Micros{1000 * Draw(60)};
     while (fixture_.now < end) {
@@ -157,7 +159,7 @@
 
   void CheckSent(const SendAttempt& sent) {
     RequestState& request = requests_[sent.id];
-    EXPECT_LT(request.answered_at, 0us) << "sent after the final answer";
+    EXPECT_LT(request.answered_at, 0us) << "sent after the final response";
     CheckAvailability(sent);
     CheckEffect(request);
     CheckAge(sent, request);
@@ -177,7 +179,7 @@
     for (const AttemptState& attempt : request.attempts) {
       EXPECT_TRUE(can_hedge || !attempt.is_in_flight);
       EXPECT_FALSE(attempt.is_possibly_executed && effect == Effect::kNonIdempotent)
-          << "it could happen twice";
+          << "a non-idempotent request could be executed twice";
     }
   }
 
@@ -198,7 +200,7 @@
   }
 
   void CheckAnswered(RequestState& request) const {
-    EXPECT_LT(request.answered_at, 0us) << "answered twice";
+    EXPECT_LT(request.answered_at, 0us) << "more than one final response";
     request.answered_at = fixture_.now;
   }
 
@@ -212,26 +214,26 @@
   std::map<RequestId, RequestState> requests_;
   std::map<std::uint64_t, Micros> purged_at_;  // by object
   std::map<ServerId, Availability> availability_;
-  std::vector<std::pair<RequestId, std::uint32_t>> in_flight_;  // request and number of the attempt
+  std::vector<std::pair<RequestId, std::uint32_t>> in_flight_;  // request and index of the attempt
   std::string text_;
 };
 
-TEST(Invariants, HoldOnDrawnDays) {
+TEST(Invariants, HoldInRandomScenarios) {
   for (unsigned seed = 1; seed <= 12; ++seed) {
     RouterFixture fixture;
-    DrawnDay(seed, fixture, nullptr).Play();
-    ASSERT_FALSE(HasFailure()) << "day " << seed;
+    RandomScenario(seed, fixture, nullptr).Run();
+    ASSERT_FALSE(HasFailure()) << "seed " << seed;
   }
 }
 
 TEST(Invariants, EqualEventsGiveEqualActions) {
   RouterFixture first;
   RouterFixture second;
-  const std::string actions = DrawnDay(5, first, nullptr).Play();
-  EXPECT_EQ(actions, DrawnDay(5, second, nullptr).Play());
+  const std::string actions = RandomScenario(5, first, nullptr).Run();
+  EXPECT_EQ(actions, RandomScenario(5, second, nullptr).Run());
 }
 
-// The other instance draws from its own stream, so only what the two share could differ.
+// The other instance has its own sequence of requests, so only shared state could cause a difference.
 TEST(Invariants, AnotherInstanceInTheProcessChangesNoAction) {
   RouterFixture other;
   RouterFixture concurrent;
--- a/tests/routing/outcome_recorder_test.cpp
+++ b/tests/routing/outcome_recorder_test.cpp
@@ -1,18 +1,19 @@
-// What outcomes say about caches, sources and the origin.
+// Attribution of outcomes to caches, sources and the origin.
 #include "routing/router_fixture.hpp"
 
 namespace tinspan {
 namespace {
 
-// Guards against blaming parents for a slow origin: likely fills that stay out while parents answer.
+// Guards against ejecting parents because of a slow origin: probable fills are late while the parents
+// respond.
 TEST(OutcomeRecorder, AttributesLateFillsOfALiveParentToTheOrigin) {
   RouterFixture fixture;
   fixture.settings.can_cancel = false;
   fixture.Start();
-  EXPECT_TRUE(fixture.LateFillsProtectTheOrigin());
+  EXPECT_TRUE(fixture.IsOriginProtectedAfterLateFills());
 }
 
-// Guards against clients that ask for what nobody can answer: their errors would eject every server in turn.
+// Guards against requests that no server can serve: their errors would get every server ejected in turn.
 TEST(OutcomeRecorder, AttributesAnErrorOfTwoServersToTheRequest) {
   RouterFixture fixture;
   fixture.Start();
@@ -29,7 +30,7 @@
   for (int cache = 1; cache <= 3; ++cache) EXPECT_GT(sent[cache], 3);
 }
 
-// Whether a request was sent to two servers, one after the other, and rejected when both gave an error.
+// Whether a request is sent to two servers, one after the other, and rejected after both returned an error.
 bool IsRejectedAfterTwoErrors(RouterFixture& fixture, std::uint64_t object) {
   const SendAttempt first = fixture.Send(object);
   fixture.Complete(first.id, 0, Outcome::kError);
@@ -49,7 +50,7 @@
   }
 }
 
-// An error that another server makes good is its server's, and so is one without a second opinion.
+// An error counts against its server if another server serves the request, or if no other server was tried.
 TEST(OutcomeRecorder, AttributesAnErrorThatAnotherServerAvoidsToItsServer) {
   RouterFixture fixture;
   fixture.Start();
@@ -62,7 +63,7 @@
   EXPECT_EQ(fixture.CountSentTo(ServerId{1}, 5000), 0);
 }
 
-// Sends a request whose fill fails if its source is parent 12, and is retried then.
+// Sends a request whose fill fails if its source is parent 12; it is then retried.
 SendAttempt SendWithBadParent(RouterFixture& fixture) {
   const SendAttempt sent = fixture.Send(7);
   const bool is_bad = sent.source == ServerId{12};
@@ -83,10 +84,10 @@
     bad_fills += sent.source == ServerId{12} ? 1 : 0;
   }
   EXPECT_GE(bad_fills, 2);
-  EXPECT_LE(bad_fills, 4);  // then the parent is ejected and the next one fills
+  EXPECT_LE(bad_fills, 4);  // then the parent is ejected and the next one is the source
 }
 
-// Fails fills by the origin until it is protected; false: it never was.
+// Fails fills from the origin until it is protected. Returns whether it was.
 bool EjectOrigin(RouterFixture& fixture) {
   for (std::uint64_t object = 1; object < 60; ++object) {
     const SendAttempt one = fixture.Send(object);
@@ -97,15 +98,16 @@
   return false;
 }
 
-// Guards against an ejection of the origin that no answer could ever clear: outcomes never say that a fill
-// came from it, so a flush's slow fills had half the fleet reject, for good, what the parents had not cached.
+// Guards against a permanent ejection of the origin if outcomes never report that a fill came from it. After
+// a flush with slow fills, half of the fleet permanently rejected requests for objects that parents had not
+// cached.
 TEST(OutcomeRecorder, ReadmitsTheOriginByFillsThatPossiblyUsedIt) {
   HitOnlyFixture fixture;
   fixture.Start();
   ASSERT_TRUE(EjectOrigin(fixture));
   fixture.AdvanceTime(10s);
   int origin_requests = 0;
-  for (std::uint64_t object = 1000; object < 1040; ++object) {  // it works again
+  for (std::uint64_t object = 1000; object < 1040; ++object) {  // the origin works again
     const SendAttempt one = fixture.Send(object);
     const bool is_filled = !one.source_cached_only;
     origin_requests += is_filled ? 1 : 0;
@@ -116,8 +118,8 @@
   EXPECT_GE(origin_requests, 20);
 }
 
-// Guards against an origin that has stopped and looks well, since fills of what the parents have cached go
-// on.
+// Guards against a stopped origin that appears healthy because fills of objects that parents have cached
+// still succeed.
 TEST(OutcomeRecorder, DetectsADeadOriginBehindFillsThatParentsPossiblyCached) {
   HitOnlyFixture fixture;
   fixture.settings.can_cancel = false;
@@ -125,7 +127,7 @@
                        {.id = ServerId{11}, .kind = kParentKind, .zone = ZoneId{1}},
                        {.id = ServerId{21}, .kind = kOriginKind, .zone = ZoneId{1}}};
   fixture.Start();
-  EXPECT_TRUE(fixture.LateFillsProtectTheOrigin());
+  EXPECT_TRUE(fixture.IsOriginProtectedAfterLateFills());
 }
 
 }  // namespace
--- a/tests/routing/outlier_detector_test.cpp
+++ b/tests/routing/outlier_detector_test.cpp
@@ -1,10 +1,10 @@
-// Which servers are ejected and probed.
+// Ejection and probing of servers.
 #include "routing/router_fixture.hpp"
 
 namespace tinspan {
 namespace {
 
-// Sends a request that fails if cache 1 gets it, and is then served by another cache.
+// Sends a request that fails at cache 1 and is then served by another cache.
 SendAttempt SendWithFailingCache(RouterFixture& fixture, std::uint64_t object) {
   const SendAttempt sent = fixture.Send(object);
   const bool is_failing = sent.server == ServerId{1};
@@ -29,7 +29,7 @@
   EXPECT_LE(sent_there, 10);
 }
 
-// Attempts in flight at cache 1 together; all others are served.
+// Returns `count` attempts in flight at cache 1; requests sent to other caches are served.
 std::vector<SendAttempt> OpenAttempts(RouterFixture& fixture, std::size_t count) {
   std::vector<SendAttempt> open;
   for (std::uint64_t object = 1; open.size() < count && object < 200; ++object) {
@@ -43,7 +43,7 @@
   return open;
 }
 
-// Guards against ejecting a server for one connection that broke with all that was open on it.
+// Guards against ejecting a server because one connection was reset with many attempts on it.
 TEST(OutlierDetector, CountsABrokenConnectionOnce) {
   RouterFixture fixture;
   fixture.Start();
@@ -52,13 +52,13 @@
   fixture.now += 10ms;
   for (const SendAttempt& one : open) {
     fixture.Complete(one.id, 0, Outcome::kReset);
-    fixture.Handle(ClientDisconnectedEvent{one.id});  // the retry is no part of this
+    fixture.Handle(ClientDisconnectedEvent{one.id});  // ends the request, since the retry is not tested
     fixture.Complete(one.id, 1, Outcome::kCancelled);
   }
   EXPECT_GT(fixture.CountSentTo(ServerId{1}, 300), 3);
 }
 
-// Serves 899 objects, of which cache 1, or every cache, fails three of ten; counts those sent to cache 1.
+// Requests 899 objects. Cache 1, or every cache, fails three of ten. Returns the number sent to cache 1.
 int SentToFirstCache(bool all_fail) {
   RouterFixture fixture;
   fixture.Start();
@@ -78,9 +78,9 @@
   return count;
 }
 
-// Guards against ejecting servers for what most of them show: answers lost on the way, congestion.
+// Guards against ejecting servers for failures that most of them have: lost responses, congestion.
 TEST(OutlierDetector, EjectsFewerForFailuresThatAllShow) {
-  EXPECT_GT(SentToFirstCache(true), 300);  // of some 300 requests hashed to it and those moved to it
+  EXPECT_GT(SentToFirstCache(true), 300);  // about 300 requests are hashed to it; more are retried there
 }
 
 }  // namespace
--- a/tests/routing/purge_ledger_test.cpp
+++ b/tests/routing/purge_ledger_test.cpp
@@ -1,4 +1,4 @@
-// What copies a request may be served after a purge.
+// The age of copies that may be served after a purge.
 #include "routing/router_fixture.hpp"
 
 namespace tinspan {
--- a/tests/routing/retry_policy_test.cpp
+++ b/tests/routing/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-// Whether a request may be attempted again, by its effect.
+// Whether a request may be retried, by its effect.
 #include <algorithm>
 
 #include "routing/router_fixture.hpp"
@@ -6,7 +6,7 @@
 namespace tinspan {
 namespace {
 
-// What comes of a non-idempotent request whose first attempt has this outcome.
+// A fixture with a non-idempotent request whose first attempt ended with this outcome.
 RouterFixture AfterOutcome(Outcome outcome) {
   RouterFixture fixture;
   fixture.settings.classes[0].effect = Effect::kNonIdempotent;
@@ -40,7 +40,7 @@
   EXPECT_TRUE(fixture.ActionsOf<Reject>().empty());
 }
 
-// A request with an idempotency key whose first attempt is reset: cache 1 has a cell of its own.
+// A request with an idempotency key whose first attempt is reset. Cache 1 is the only one in its cell.
 struct KeyedRetry {
   static constexpr Micros kWindow = 1s;
 
@@ -57,7 +57,8 @@
     retries = fixture.ActionsOf<SendAttempt>();
   }
 
-  // One retry at a cache of the first attempt's cell. Cache 1 is alone in its cell: it may be asked again.
+  // Whether all retries are in the cell of the first attempt. There is exactly one, except if the first
+  // attempt was at cache 1, which is alone in its cell.
   bool IsInCellOfFirst() const {
     const bool is_alone = first.server == ServerId{1};
     if (retries.empty()) return is_alone;
@@ -98,8 +99,8 @@
   EXPECT_NE(fixture.OnlyAttempt().server, sent.server);
 }
 
-// Guards against filling an object twice where its answer was lost: the copy is at the cache that was asked.
-// One that goes on breaking off is moved on from once it is ejected.
+// Guards against filling an object twice if the response was lost: the cache of the first attempt has the
+// copy. If its connections keep being reset, it is ejected and another cache is used.
 TEST(RetryPolicy, RetriesAtTheSameCacheAfterAReset) {
   RouterFixture fixture;
   fixture.Start();
--- a/tests/routing/router_fixture.hpp
+++ b/tests/routing/router_fixture.hpp
@@ -1,4 +1,4 @@
-// A Router under scripted events, and what tests ask of the actions that come out.
+// A test fixture that passes events to a Router and gives access to the resulting actions.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -74,7 +74,7 @@
   RequestEvent Request(std::uint64_t object, double size_kb = 50) {
     return {.id = RequestId{next_id++}, .time_left = 5s, .object = ObjectId{object}, .size_kb = size_kb};
   }
-  // Sends a request and gives back the attempt that came of it; fails the test if none did.
+  // Passes a request and returns the resulting attempt; fails the test unless there is exactly one.
   SendAttempt Send(const RequestEvent& event) {
     Handle(event);
     return OnlyAttempt();
@@ -107,7 +107,7 @@
     Complete(sent.id, 0, Outcome::kServed, note);
     return sent;
   }
-  // Serves thirty objects from this one on and counts those sent to a server.
+  // Serves thirty objects, starting with `first_object`, and counts the requests sent to `server`.
   int CountSentTo(ServerId server, std::uint64_t first_object) {
     int count = 0;
     for (std::uint64_t object = first_object; object < first_object + 30; ++object) {
@@ -115,7 +115,8 @@
     }
     return count;
   }
-  // Starts with forty more parents and twenty fills; objects not seen before are filled.
+  // Starts with forty additional parents and serves twenty fills, so that further new objects probably need
+  // fills.
   void StartWithManyParents() {
     for (std::uint64_t server = 100; server < 140; ++server) {
       endpoints.push_back({.id = ServerId{server}, .kind = kParentKind, .zone = ZoneId{1}});
@@ -125,8 +126,9 @@
       Complete(Send(object).id, 0, Outcome::kServed, FillNote::kFilled, 60ms);
     }
   }
-  // Fills that stay out for good while others are served, until one protects the origin; false: none did.
-  bool LateFillsProtectTheOrigin() {
+  // Lets fills time out while others are served. Returns whether an attempt was sent that protects the
+  // origin.
+  bool IsOriginProtectedAfterLateFills() {
     for (std::uint64_t object = 1; object < 60; ++object) {
       RequestEvent slow = Request(object);
       slow.time_left = 1500ms;
@@ -140,7 +142,7 @@
     }
     return false;
   }
-  // Lets time pass, with each timer's event when it is due; keeps the actions of all.
+  // Advances the time and passes timer events when they are due. Collects the actions of all of them.
   void AdvanceTime(Micros span) {
     const Micros end = now + span;
     Actions all;
@@ -178,7 +180,8 @@
   return endpoint;
 }
 
-// A fixture on a platform whose outcomes tell hits from fills and nothing else of a fill's way, as ours does.
+// A fixture for a platform whose outcomes distinguish hits from fills but do not report how a fill was made,
+// as on the production platform.
 struct HitOnlyFixture : RouterFixture {
   HitOnlyFixture() { settings.fill_detail = FillDetail::kHit; }
 };
--- a/tests/routing/server_table_test.cpp
+++ b/tests/routing/server_table_test.cpp
@@ -1,4 +1,4 @@
-// The servers that a Router knows and their rendezvous order.
+// The servers known to a Router and their rendezvous order.
 #include <algorithm>
 #include <utility>
 
@@ -7,7 +7,7 @@
 namespace tinspan {
 namespace {
 
-// The caches and sources of forty objects.
+// The cache and the source selected for each of forty objects.
 std::vector<std::pair<ServerId, ServerId>> Placements(RouterFixture& fixture) {
   fixture.Start();
   std::vector<std::pair<ServerId, ServerId>> placements;
@@ -71,11 +71,12 @@
   const SendAttempt first = fixture.SendAndServe(7);
   fixture.UpdateEndpoints({WithAvailability(RouterFixture::Cache(static_cast<std::uint64_t>(first.server)),
                                             Availability::kUp, fixture.now - 19900ms)});
-  fixture.AdvanceTime(200ms);  // warm again, but empty since its start
+  fixture.AdvanceTime(200ms);  // warm again, but empty since its restart
   EXPECT_EQ(fixture.SendAndServe(7).cache_rank, first.cache_rank);
 }
 
-// What is remembered of departed servers is bounded, and those there are used after thousands have departed.
+// Guards against records of removed servers growing without bound, and against errors in the reuse of their
+// slots.
 TEST(ServerTable, ReusesTheSlotsOfDepartedServers) {
   RouterFixture fixture;
   fixture.Start();
--- a/tests/routing/slow_start_budget_test.cpp
+++ b/tests/routing/slow_start_budget_test.cpp
@@ -1,4 +1,4 @@
-// What is sent to a server that warms up, by one instance and by many.
+// Work sent to a server that is warming up, by one instance and by many.
 #include <algorithm>
 #include <cmath>
 #include <random>
@@ -9,7 +9,7 @@
 namespace tinspan {
 namespace {
 
-// Sending time sent to a server within `span` by an instance that sends every 5 ms.
+// Transfer time (seconds) sent to a server within `span` by an instance with one request every 5 ms.
 double SentTo(RouterFixture& fixture, ServerId server, Micros span) {
   double sent = 0;
   for (Micros elapsed{0}; elapsed < span; elapsed += 5ms) {
@@ -29,7 +29,8 @@
   EXPECT_GT(SentTo(fixture, ServerId{1}, 2s), 5.0);
   fixture.UpdateEndpoints({WithAvailability(fixture.endpoints[0], Availability::kUp, fixture.now)});
   const double sent = SentTo(fixture, ServerId{1}, 2s);
-  // Of 10 transfers a second, a fifth rising in 20 s, times 2, for 2 s: never more than that.
+  // The limit: multiple 2, at most 0.3 of the capacity (it starts at 0.2 and reaches 1 in 20 s), 10
+  // concurrent transfers, 2 s.
   EXPECT_LT(sent, 2 * 0.3 * 10 * 2);
   EXPECT_GT(sent, 1.0);
 }
@@ -42,11 +43,12 @@
   EXPECT_GT(SentTo(fixture, ServerId{11}, 2s), 5.0);
   fixture.UpdateEndpoints({WithAvailability(fixture.endpoints[3], Availability::kUp, fixture.now)});
   const double sent = SentTo(fixture, ServerId{11}, 2s);
-  EXPECT_LT(sent, 2 * 0.2 * 10 / 2 * 2);  // half of it: two instances share the parent
+  EXPECT_LT(sent, 2 * 0.2 * 10 / 2 * 2);  // half of the limit: two instances share the parent
   EXPECT_GT(sent, 0.3);
 }
 
-// Sending time that one of many instances sends a warming server in one overload window, each request 0.3 s.
+// Transfer time (seconds) that one of many instances sends to a warming server within one overload window;
+// each request takes 0.3 s.
 double SentInOverloadWindow(std::uint32_t instance_count, std::uint32_t instance_index, bool is_parent) {
   RouterFixture fixture;
   fixture.settings.instance_count = instance_count;
@@ -71,7 +73,7 @@
   return sent;
 }
 
-// The same summed over sixty instances.
+// The sum of SentInOverloadWindow over sixty instances.
 double SumInOverloadWindow(bool is_parent) {
   constexpr std::uint32_t kInstances = 60;
   double sum = 0;
@@ -79,8 +81,9 @@
   return sum;
 }
 
-// Guards against many instances that each send a warming server one first request: summed over all, within an
-// overload window, they stay under what would overload it: multiple x present capacity x window.
+// Guards against many instances that each send one first request to a warming server. Within an overload
+// window, the sum over all instances must stay below the overload limit: multiple x current capacity x
+// window.
 TEST(SlowStartBudget, LimitsTheFirstRequestsOfManyInstancesToACacheInSum) {
   const double sum = SumInOverloadWindow(false);
   EXPECT_LT(sum, 2 * 0.2 * 20 * 2);
@@ -106,25 +109,25 @@
     fixture.Handle(fixture.Request(object, 400));
     for (const SendAttempt& one : fixture.ActionsOf<SendAttempt>()) sent += one.server == ServerId{1};
   }
-  EXPECT_LE(sent, 3);  // 0.1 s of two transfers a second is less than one request of 0.4 s
+  EXPECT_LE(sent, 3);  // a budget of 0.1 s x 2 transfers is below one request of 0.4 s
 }
 
-// Thirty instances and one warming server that all of them send to, each in steps of its own. What they send
-// in any span of an overload window, summed, must stay within N + 2 x root of N + 2 requests, N being what
-// the settings allow the server then: what is within one instance's part is not within the sum.
+// Thirty instances that all send requests to one warming server. In any span of one overload window, the sum
+// of their requests must not exceed N + 2 x sqrt(N) + 2, where N is the number that the settings permit for
+// the server at that time. Each instance can be within its own share while the sum is above the limit.
 struct WarmingFleet {
   static constexpr std::uint32_t kInstances = 30;
   static constexpr Micros kStep = 10ms;
-  static constexpr Micros kStart = 200s;        // of the warming server
-  static constexpr double kTransferTime = 0.3;  // of a request, seconds
+  static constexpr Micros kStart = 200s;        // start time of the warming server
+  static constexpr double kTransferTime = 0.3;  // of a request, in seconds
 
-  bool is_parent = false;                         // the warming one is a parent, which fills come to
-  double weight = 20;                             // of each server; 0: sizes are not told
-  std::uint32_t own_zone_instances = kInstances;  // as the settings say
-  Micros event_delay{0};                          // after the start
-  Micros restart{0};                              // all instances anew so long after the start; 0: never
-  Micros roll{0};   // one instance after the other anew, in such steps; 0: never
-  double load = 3;  // of what three warm caches bear: more is wanted than may be sent
+  bool is_parent = false;                         // the warming server is a parent, which gets fills
+  double weight = 20;                             // of each server; 0: capacities are not advertised
+  std::uint32_t own_zone_instances = kInstances;  // value in the settings
+  Micros event_delay{0};                          // from the server's start to its endpoint event
+  Micros restart_delay{0};             // from the server's start to a restart of all instances; 0: none
+  Micros rolling_restart_interval{0};  // interval at which one instance after another restarts; 0: none
+  double load_factor = 3;              // offered load, as a multiple of the capacity of three warm caches
   std::uint64_t seed = 7;
 
   using Instance = std::unique_ptr<RouterFixture>;
@@ -146,7 +149,7 @@
     return fixture;
   }
 
-  // Brings an instance to the next step: with the event of the server's start, or anew.
+  // Advances an instance to the next step: passes the endpoint event of the server's start, or restarts it.
   void Advance(Instance& instance, std::uint32_t number, Micros now) const {
     instance->AdvanceTime(now - instance->now);
     if (now == kStart + event_delay) {
@@ -154,12 +157,12 @@
       endpoint.started_at = kStart;
       instance->UpdateEndpoints({endpoint});
     }
-    const bool is_rolled =
-        roll > 0s && now > kStart + event_delay && now % (roll * kInstances) == roll * number;
+    const bool is_rolled = rolling_restart_interval > 0s && now > kStart + event_delay &&
+                           now % (rolling_restart_interval * kInstances) == rolling_restart_interval * number;
     if (is_rolled) instance = MakeInstance(number, now, true);
   }
 
-  // How many of an instance's attempts at one request reach the warming server.
+  // Sends one request and returns the number of its attempts that reach the warming server.
   std::size_t SendOne(RouterFixture& instance, std::uint64_t object) const {
     std::size_t reached = 0;
     const ServerId warming = instance.endpoints[WarmingSlot()].id;
@@ -172,23 +175,24 @@
     return reached;
   }
 
-  // When requests reached the warming server, in order.
+  // The times at which requests reached the warming server, in order.
   std::vector<Micros> Run() const {
     std::vector<Instance> fleet;
     for (std::uint32_t i = 0; i < kInstances; ++i) fleet.push_back(MakeInstance(i, kStart - 20s, false));
     std::mt19937_64 random(seed);
     std::uniform_real_distribution<double> chance(0, 1);
-    const double requests_per_second = load * 3 * Capacity() / kTransferTime;  // at all instances
+    // At all instances together.
+    const double requests_per_second = load_factor * 3 * Capacity() / kTransferTime;
     std::vector<Micros> times;
     std::uint64_t object = 1;
     for (Micros now = kStart - 20s; now < kStart + 14s; now += kStep) {
-      const bool is_restarted = restart > 0s && now == kStart + restart;
+      const bool is_restarted = restart_delay > 0s && now == kStart + restart_delay;
       for (std::uint32_t i = 0; i < kInstances && is_restarted; ++i) fleet[i] = MakeInstance(i, now, true);
       for (std::uint32_t i = 0; i < kInstances; ++i) {
         Advance(fleet[i], i, now);
-        // Uneven: the busiest sees four times the mean.
-        const double part = (0.25 + 3.75 * i / (kInstances - 1)) / (2.125 * kInstances);
-        if (chance(random) >= requests_per_second * part * Seconds(kStep)) continue;
+        // The load is uneven: the last instance gets 16 times as much as the first.
+        const double instance_share = (0.25 + 3.75 * i / (kInstances - 1)) / (2.125 * kInstances);
+        if (chance(random) >= requests_per_second * instance_share * Seconds(kStep)) continue;
         const std::size_t reached = SendOne(*fleet[i], ++object);
         if (now >= kStart + event_delay) times.insert(times.end(), reached, now);
       }
@@ -196,7 +200,7 @@
     return times;
   }
 
-  // N of the window that begins at a time.
+  // The limit N of the overload window that starts at `window_start`.
   double AllowedRequests(const Settings& settings, Micros window_start) const {
     const double initial =
         is_parent ? settings.parent_initial_capacity_share : settings.initial_capacity_share;
@@ -206,7 +210,7 @@
     return multiple * share * Capacity() * Seconds(settings.overload_window) / kTransferTime;
   }
 
-  // The most by which a window went over its budget, in requests; below 0: none did.
+  // The greatest number of requests by which a window exceeded its limit; not above 0: none did.
   double MaxExcess() const {
     const Settings settings = RouterFixture().settings;
     const std::vector<Micros> times = Run();
@@ -222,12 +226,13 @@
   static double Seconds(Micros time) { return std::chrono::duration<double>(time).count(); }
 };
 
-// By the size of N: one request or less for each instance up to many.
+// The weights cover values of N from at most one request per instance to many.
 TEST(SlowStartBudget, LimitsTheSumOfAllInstances) {
   for (const bool is_parent : {false, true}) {
     for (const double weight : {1.0, 4.0, 20.0, 0.0}) {
-      // Where sizes are not told, what warm ones are seen to bear is all that is known.
-      const WarmingFleet fleet{.is_parent = is_parent, .weight = weight, .load = weight > 0 ? 3 : 0.5};
+      // If capacities are not advertised, only the observed work of warm servers is known; a lower load is
+      // used.
+      const WarmingFleet fleet{.is_parent = is_parent, .weight = weight, .load_factor = weight > 0 ? 3 : 0.5};
       EXPECT_LE(fleet.MaxExcess(), 0) << "parent " << is_parent << ", weight " << weight;
     }
   }
@@ -235,8 +240,8 @@
 
 TEST(SlowStartBudget, IsUsedByTheFleet) { EXPECT_GT(WarmingFleet{}.Run().size(), 100U); }
 
-// Guards against making up, in one moment and at all instances, for what nobody could send before the event
-// came, or before they were there. By whether the server is a parent, its weight, and the seed.
+// Guards against a burst in which all instances at once spend budget for the time before the endpoint event
+// arrived or before they were started. Parameters: whether the server is a parent, its weight, the seed.
 class LateFleet : public ::testing::TestWithParam<std::tuple<bool, double, std::uint64_t>> {
  protected:
   static constexpr Micros kLate = 7s;
@@ -246,13 +251,13 @@
                       .seed = std::get<2>(GetParam())};
 };
 
-TEST_P(LateFleet, MakesUpForNothingAfterLateEvents) {
+TEST_P(LateFleet, DoesNotCatchUpAfterLateEvents) {
   fleet_.event_delay = kLate;
   EXPECT_LE(fleet_.MaxExcess(), 0);
 }
 
-TEST_P(LateFleet, MakesUpForNothingAfterLateStarts) {
-  fleet_.restart = kLate;
+TEST_P(LateFleet, DoesNotCatchUpAfterLateStarts) {
+  fleet_.restart_delay = kLate;
   EXPECT_LE(fleet_.MaxExcess(), 0);
 }
 
@@ -260,17 +265,17 @@
                          ::testing::Combine(::testing::Bool(), ::testing::Values(1.0, 4.0, 20.0),
                                             ::testing::Values(7, 8, 9, 10)));
 
-TEST(SlowStartBudget, MakesUpForNothingInARollingRestart) {
+TEST(SlowStartBudget, DoesNotCatchUpInARollingRestart) {
   for (const bool is_parent : {false, true}) {
     for (const double weight : {1.0, 4.0, 20.0}) {
-      const WarmingFleet fleet{.is_parent = is_parent, .weight = weight, .roll = 200ms};
+      const WarmingFleet fleet{.is_parent = is_parent, .weight = weight, .rolling_restart_interval = 200ms};
       EXPECT_LE(fleet.MaxExcess(), 0) << "parent " << is_parent << ", weight " << weight;
     }
   }
 }
 
-// Guards against settings that list no instance in our own location, though we are one: each would take
-// itself for the only one.
+// Guards against settings that list no instance in the own location: each instance would assume that it is
+// the only one.
 TEST(SlowStartBudget, CountsAllInstancesWhereTheOwnLocationListsNone) {
   EXPECT_LE((WarmingFleet{.weight = 4, .own_zone_instances = 0}.MaxExcess()), 0);
 }
--- a/tests/routing/source_selector_test.cpp
+++ b/tests/routing/source_selector_test.cpp
@@ -1,14 +1,16 @@
-// Where a cache fills a miss from: siblings by Pfreq and epsilon, parents, the origin.
+// The source of a fill: siblings by Pfreq and epsilon, parents, the origin.
 #include "routing/router_fixture.hpp"
 
 namespace tinspan {
 namespace {
 
-// Home is filled with counts elsewhere: drain it, ask (the next serves and is counted), and bring it back.
+// Sends a request to the home cache (the first in rendezvous order) while only a sibling has counts for the
+// object: drains the home cache, sends `times` requests, which the next cache serves and counts, and restores
+// it.
 SendAttempt SendWithCountsAtASibling(RouterFixture& fixture, std::uint64_t object, Micros later = 1s,
                                      int times = 1) {
   const ServerId home = fixture.SendAndServe(object).server;
-  fixture.AdvanceTime(9s);  // beyond k * tau: the home's own count has slid out
+  fixture.AdvanceTime(9s);  // longer than k * tau: the home cache's own count has expired
   const EndpointInfo endpoint = RouterFixture::Cache(static_cast<std::uint64_t>(home));
   fixture.UpdateEndpoints({WithAvailability(endpoint, Availability::kDraining)});
   for (int i = 0; i < times; ++i) fixture.SendAndServe(object);
@@ -63,8 +65,8 @@
     fixture.Complete(sent.id, 0, Outcome::kMiss, FillNote::kSourceMiss);
     fixture.Complete(sent.id, 1, Outcome::kServed, FillNote::kFilled);
   }
-  EXPECT_GE(named, 2);  // one half, then 0.5 / 2, then 0.5 / 3 is under epsilon
-  EXPECT_LE(named, 6);  // at each of the summary values that the slide makes of one count
+  EXPECT_GE(named, 2);  // Pfreq is 1/2, then 0.5 / 2; then 0.5 / 3 is below epsilon
+  EXPECT_LE(named, 6);  // for each summary value that one count has as it ages
 }
 
 TEST(SourceSelector, NamesTheParentForTheNextCache) {
