--- a/src/cli/init.cpp
+++ b/src/cli/init.cpp
@@ -21,15 +21,15 @@
 namespace po = boost::program_options;
 using Json = nlohmann::ordered_json;
 
-// A token that nobody guesses: the same randomness as a key's.
+// Returns an operator's token with the randomness of a signing key, so that it cannot be guessed.
 std::string NewToken() {
   return Json::parse(http::NewKey(http::Algorithm::kHs256, "token")).at("k").get<std::string>();
 }
 
 }  // namespace
 
-void DescribeInit(Options& options) {
-  options.add_options()("name", po::value<std::string>()->value_name("NAME"), "of the gateway")(
+void AddInitOptions(Options& options) {
+  options.add_options()("name", po::value<std::string>()->value_name("NAME"), "the gateway's name")(
       "listen", po::value<std::string>()->value_name("ADDRESS"),
       "where clients connect, such as 127.0.0.1:8080")(
       "origin", po::value<std::string>()->value_name("URL"),
@@ -39,28 +39,31 @@
 
 int RunInit(const Values& values, const std::vector<std::string>& arguments) {
   const std::string& folder = arguments[0];
-  Json file = Json::parse(kExampleGateway);
-  const auto set = [&](const char* option, Json& target) {
+  Json config_json = Json::parse(kExampleGateway);
+  const auto override_from = [&](const char* option, Json& target) {
     if (values.count(option) > 0) target = values[option].as<std::string>();
   };
-  set("name", file["name"]);
-  set("listen", file["listen"]);
-  set("origin", file["origin"]);
-  set("consul", file["consul"]["address"]);
-  const std::string at = folder + "/";
-  const auto named = [&](const char* key) { return at + file.at(key).get<std::string>(); };
-  const std::string shops = http::NewKey(http::Algorithm::kHs256, "shops-1");
-  const std::string own = http::NewKey(http::Algorithm::kEs256, file.at("name").get<std::string>() + "-1");
+  override_from("name", config_json["name"]);
+  override_from("listen", config_json["listen"]);
+  override_from("origin", config_json["origin"]);
+  override_from("consul", config_json["consul"]["address"]);
+  const std::string folder_prefix = folder + "/";
+  const auto path_of = [&](const char* key) {
+    return folder_prefix + config_json.at(key).get<std::string>();
+  };
+  const std::string client_key = http::NewKey(http::Algorithm::kHs256, "shops-1");
+  const std::string gateway_key =
+      http::NewKey(http::Algorithm::kEs256, config_json.at("name").get<std::string>() + "-1");
   if (::mkdir(folder.c_str(), 0700) != 0 && errno != EEXIST) {
     throw std::runtime_error(folder + ": " + std::strerror(errno));
   }
   const std::vector<std::pair<std::string, std::string>> files{
-      {at + "gateway.json", file.dump(2) + "\n"},
-      {named("keys_file"), "{\"keys\":[" + shops + "]}\n"},
-      {named("signing_key_file"), own + "\n"},
-      {named("operator_token_file"), NewToken() + "\n"}};
+      {folder_prefix + "gateway.json", config_json.dump(2) + "\n"},
+      {path_of("keys_file"), "{\"keys\":[" + client_key + "]}\n"},
+      {path_of("signing_key_file"), gateway_key + "\n"},
+      {path_of("operator_token_file"), NewToken() + "\n"}};
   WriteNewFiles(files);
-  try {  // what was given may make no sense
+  try {  // the options may hold invalid values
     const config::Http config = config::ReadHttp(files[0].first);
     http::ReadKeys(config, config.keys);
     http::ReadSigningKey(config);
--- a/src/cli/init.hpp
+++ b/src/cli/init.hpp
@@ -1,11 +1,11 @@
-// `tinspan init`: a gateway that can be started, in a folder of its own.
+// `tinspan init`: creates a folder with all files that a gateway needs to start.
 #pragma once
 
 #include "cli/command.hpp"
 
 namespace tinspan::cli {
 
-void DescribeInit(Options& options);
+void AddInitOptions(Options& options);
 int RunInit(const Values& values, const std::vector<std::string>& arguments);
 
 }  // namespace tinspan::cli
--- a/src/cli/keys.hpp
+++ b/src/cli/keys.hpp
@@ -1,12 +1,12 @@
-// `tinspan keys`: making keys, and signing links and tokens to try a gateway with.
+// `tinspan keys`: creates keys, and signs links and tokens to test a gateway with.
 #pragma once
 
 #include "cli/command.hpp"
 
 namespace tinspan::cli {
 
-void DescribeKeysNew(Options& options);
-void DescribeKeysSign(Options& options);
+void AddKeysNewOptions(Options& options);
+void AddKeysSignOptions(Options& options);
 int RunKeysNew(const Values& values, const std::vector<std::string>& arguments);
 int RunKeysPublic(const Values& values, const std::vector<std::string>& arguments);
 int RunKeysLink(const Values& values, const std::vector<std::string>& arguments);
--- a/src/cli/new_file.cpp
+++ b/src/cli/new_file.cpp
@@ -12,21 +12,21 @@
 namespace tinspan::cli {
 namespace {
 
-[[noreturn]] void Failed(const std::string& path, int error) {
+[[noreturn]] void ThrowFileError(const std::string& path, int error) {
   throw std::runtime_error(path + ": " +
-                           (error == EEXIST ? "exists already, and is left as it is" : std::strerror(error)));
+                           (error == EEXIST ? "exists already and is not replaced" : std::strerror(error)));
 }
 
-void WriteNew(const std::string& path, std::string_view text) {
+void WriteNewFile(const std::string& path, std::string_view text) {
   const net::Fd fd(::open(path.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_NOFOLLOW | O_CLOEXEC, 0600));
-  if (!fd) Failed(path, errno);
+  if (!fd) ThrowFileError(path, errno);
   while (!text.empty()) {
     const ssize_t count = ::write(fd.Get(), text.data(), text.size());
     if (count < 0 && errno == EINTR) continue;
     if (count < 0) {
       const int error = errno;
       ::unlink(path.c_str());
-      Failed(path, error);
+      ThrowFileError(path, error);
     }
     text.remove_prefix(static_cast<std::size_t>(count));
   }
@@ -37,7 +37,7 @@
 void WriteNewFiles(const std::vector<std::pair<std::string, std::string>>& files) {
   std::size_t written = 0;
   try {
-    for (; written < files.size(); ++written) WriteNew(files[written].first, files[written].second);
+    for (; written < files.size(); ++written) WriteNewFile(files[written].first, files[written].second);
   } catch (...) {
     while (written > 0) ::unlink(files[--written].first.c_str());
     throw;
--- a/src/cli/new_file.hpp
+++ b/src/cli/new_file.hpp
@@ -1,4 +1,4 @@
-// Writing files that must not replace any, readable by their owner alone.
+// Creates files that are readable by their owner only, and never replaces an existing file.
 #pragma once
 
 #include <string>
@@ -8,8 +8,8 @@
 
 namespace tinspan::cli {
 
-// All of them or none: where one exists already or cannot be written, those made before it are taken away
-// again. Throws std::runtime_error naming the file.
+/// Creates all files, given as path and content, or none: if one already exists or cannot be written, the
+/// files created before it are deleted. Throws std::runtime_error, which names the file.
 void WriteNewFiles(const std::vector<std::pair<std::string, std::string>>& files);
 
 }  // namespace tinspan::cli
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -16,8 +16,8 @@
 namespace tinspan::cli {
 namespace {
 
-core::CoordinatorOptions CoreOptions(const config::Common& config) {
-  return {.response_margin = config.slack};
+core::CoordinatorOptions MakeCoordinatorOptions(const config::CommonConfig& config) {
+  return {.response_margin = config.response_margin};
 }
 
 std::unique_ptr<record::Recorder> MakeRecorder(const config::Http& config) {
@@ -39,83 +39,86 @@
   try {
     return std::make_unique<record::Recorder>(config.site.settings, std::move(options),
                                               core::ClockReading{net::UnixNow(), net::Now()});
-  } catch (const std::exception& error) {  // requests are served all the same
+  } catch (const std::exception& error) {  // requests are served without recording
     log::Error("record.off", {{"reason", error.what()}, {"lost", 0}},
                "recording is off until the next start: {}", error.what());
     return nullptr;
   }
 }
-// The platform gives no disk that lasts: nothing is recorded there.
+// The platform has no persistent disk, so nothing is recorded there.
 std::unique_ptr<record::Recorder> MakeRecorder(const config::Platform&) { return nullptr; }
 
-// The fleet view where the file asks for it (absent on the platform's days: its instances share nothing).
-std::unique_ptr<members::Node> MakeMembers(net::EventLoop& loop, const config::Common& config) {
+// Returns null if the configuration has no `members`. The platform's usual configurations have none: its
+// instances share nothing.
+std::unique_ptr<members::Node> MakeMembers(net::EventLoop& loop, const config::CommonConfig& config) {
   if (!config.members) return nullptr;
-  const config::Members& told = *config.members;
+  const config::Members& membership = *config.members;
   members::NodeOptions options;
-  options.fleet = told.fleet;
+  options.fleet = membership.fleet;
   options.name = config.name;
-  options.zone = told.zone;
-  options.listen = told.listen;
-  options.advertise = told.advertise;
-  options.seeds = told.seeds;
-  options.view.probe_interval = told.probe;
-  options.view.probe_timeout = told.probe_timeout;
-  options.view.indirect_probes = told.indirect;
-  options.view.suspicion_alpha = told.alpha;
-  options.view.suspicion_beta = told.beta;
-  options.view.retransmit_multiplier = told.retransmit;
-  options.view.sync_interval = told.sync;
-  options.view.dead_retention = told.dead_keep;
-  options.random_seed = config.seed ^ 0x6d656d62657273ull;  // its own stream of the told seed
+  options.zone = membership.zone;
+  options.listen = membership.listen;
+  options.advertise = membership.advertise;
+  options.seeds = membership.seeds;
+  options.view.probe_interval = membership.probe_interval;
+  options.view.probe_timeout = membership.probe_timeout;
+  options.view.indirect_probes = membership.indirect_probes;
+  options.view.suspicion_alpha = membership.suspicion_alpha;
+  options.view.suspicion_beta = membership.suspicion_beta;
+  options.view.retransmit_multiplier = membership.retransmit_multiplier;
+  options.view.sync_interval = membership.sync_interval;
+  options.view.dead_retention = membership.dead_retention;
+  // A random stream separate from those of the other users of the seed.
+  options.random_seed = config.seed ^ 0x6d656d62657273ull;
   return std::make_unique<members::Node>(loop, std::move(options));
 }
 
-// A candidate abandons a ballot after this part of a lease.
+// The ballot timeout of a candidate is the lease duration divided by this.
 constexpr int kBallotsPerLease = 8;
 
-// The leases where the file asks for them; as the fleet view, off on the platform's days.
-std::unique_ptr<lease::Agent> MakeLeases(net::EventLoop& loop, const config::Common& config,
+// Returns null if there is no fleet view or the configuration has no `leases`, as on the platform.
+std::unique_ptr<lease::Agent> MakeLeases(net::EventLoop& loop, const config::CommonConfig& config,
                                          members::Node* node) {
   if (!config.leases || node == nullptr) return nullptr;
-  const config::Leases& told = *config.leases;
+  const config::Leases& leases = *config.leases;
   lease::AgentOptions options;
-  options.lease.voters = told.voters;
-  options.lease.lease_duration = told.length;
-  options.lease.max_clock_drift = told.drift;
-  options.lease.ballot_timeout = told.length / kBallotsPerLease;
-  options.lease.can_start_alone = told.start_alone;
-  options.candidate_count = told.candidates;
-  if (told.publish) {
-    options.health_publication.emplace(told.publish->store, told.publish->key, told.publish->every);
+  options.lease.voters = leases.voters;
+  options.lease.lease_duration = leases.lease_duration;
+  options.lease.max_clock_drift = leases.max_clock_drift;
+  options.lease.ballot_timeout = leases.lease_duration / kBallotsPerLease;
+  options.lease.can_start_alone = leases.can_start_alone;
+  options.candidate_count = leases.candidate_count;
+  if (leases.health_publication) {
+    options.health_publication.emplace(leases.health_publication->store, leases.health_publication->key,
+                                       leases.health_publication->interval);
   }
-  options.distributes_purges = told.purge;
+  options.distributes_purges = leases.distributes_purges;
   options.seed = config.seed ^ 0x6c6561736573ull ^ XXH3_64bits(config.name.data(), config.name.size());
   return std::make_unique<lease::Agent>(loop, *node, std::move(options));
 }
 
-void AddFigures(const lease::Agent& agent, ops::Figures& figures) {
+void AddLeaseStats(const lease::Agent& agent, ops::Figures& figures) {
   const lease::LeaseStats& stats = agent.Leases().Stats();
-  const auto add = [&](const char* name, std::uint64_t value) {
+  const auto add_counter = [&](const char* name, std::uint64_t value) {
     figures.more.push_back({name, "counter", value});
   };
-  add("lease_messages_out_total", stats.messages_sent);
-  add("lease_messages_in_total", stats.messages_received);
-  add("lease_messages_refused_total", agent.RejectedMessages());
-  add("lease_ballots_total", stats.ballots);
-  add("lease_granted_total", stats.grants);
-  add("lease_renewed_total", stats.renewals);
-  add("lease_lapsed_total", stats.expirations);
+  add_counter("lease_messages_out_total", stats.messages_sent);
+  add_counter("lease_messages_in_total", stats.messages_received);
+  add_counter("lease_messages_refused_total", agent.RejectedMessages());
+  add_counter("lease_ballots_total", stats.ballots);
+  add_counter("lease_granted_total", stats.grants);
+  add_counter("lease_renewed_total", stats.renewals);
+  add_counter("lease_lapsed_total", stats.expirations);
   if (const auto& publisher = agent.HealthPublisher()) {
-    add("lease_published_total", publisher->PublishedCount());
-    add("lease_fenced_total", publisher->FencedCount());
-    add("lease_store_failures_total", publisher->FailureCount());
+    add_counter("lease_published_total", publisher->PublishedCount());
+    add_counter("lease_fenced_total", publisher->FencedCount());
+    add_counter("lease_store_failures_total", publisher->FailureCount());
   }
-  add("purges_passed_on_total", agent.Purges().AppliedCount());
-  add("purges_refused_total", agent.Purges().RejectedCount());
+  add_counter("purges_passed_on_total", agent.Purges().AppliedCount());
+  add_counter("purges_refused_total", agent.Purges().RejectedCount());
 }
 
-front::AttachedServices BesideOf(members::Node* node, lease::Agent* agent) {
+front::AttachedServices MakeAttachedServices(members::Node* node, lease::Agent* agent) {
   front::AttachedServices attached;
   if (node == nullptr) return attached;
   attached.views.members = [node] { return node->FormatMembers(); };
@@ -145,7 +148,7 @@
     for (const std::uint64_t count : datagrams.rejected) rejected += count;
     figures.more.push_back({"fleet_datagrams_refused_total", "counter", rejected});
     figures.more.push_back({"fleet_send_errors_total", "counter", datagrams.send_errors});
-    if (agent != nullptr) AddFigures(*agent, figures);
+    if (agent != nullptr) AddLeaseStats(*agent, figures);
   };
   attached.on_drain = [node, agent] {
     if (agent != nullptr) agent->Leave();  // first: voters are notified while the view still sends
@@ -172,9 +175,11 @@
   net::EventLoop loop;
   front::Signals signals(loop);
   std::vector<core::Event> events;
-  core::RequestCoordinator coordinator(config.site.settings, config.seed, net::Now(), CoreOptions(config));
+  core::RequestCoordinator coordinator(config.site.settings, config.seed, net::Now(),
+                                       MakeCoordinatorOptions(config));
   const std::unique_ptr<record::Recorder> recorder = MakeRecorder(config);
-  const std::unique_ptr<members::Node> fleet = MakeMembers(loop, config);  // outlives the front that asks it
+  // Must outlive the front, which queries it.
+  const std::unique_ptr<members::Node> fleet = MakeMembers(loop, config);
   const std::unique_ptr<lease::Agent> leases = MakeLeases(loop, config, fleet.get());
   if (leases) {
     leases->SetPurgeHandler([&events](const lease::Purge& purge) {
@@ -187,16 +192,17 @@
   }
   Front front(loop, config, coordinator, events);
   if constexpr (std::is_same_v<Front, http::HttpFront>) front.SetFeed(recorder.get());
-  front.SetAttachedServices(BesideOf(fleet.get(), leases.get()));
-  // The port as it is, since 0 asks for any free one.
-  const std::string at = net::Endpoint{config.listen.address, front.Port()}.Text();
-  log::Info("serve.listening", {{"name", config.name}, {"address", at}}, "{} serving at {}", config.name, at);
+  front.SetAttachedServices(MakeAttachedServices(fleet.get(), leases.get()));
+  // The actual port: the configured port 0 requests any free one.
+  const std::string address = net::Endpoint{config.listen.address, front.Port()}.Text();
+  log::Info("serve.listening", {{"name", config.name}, {"address", address}}, "{} serving at {}", config.name,
+            address);
   if (const auto ops = front.OpsPort()) {
-    const std::string door = net::Endpoint{config.ops->address, *ops}.Text();
-    log::Info("serve.ops", {{"address", door}}, "operators' door at {}", door);
+    const std::string admin_address = net::Endpoint{config.ops->address, *ops}.Text();
+    log::Info("serve.ops", {{"address", admin_address}}, "operators' door at {}", admin_address);
   }
   if (recorder)
-    recorder->OnLifecycleEvent({net::UnixNow(), net::Now()}, core::LifecycleEvent::kServing, 0, at, 0);
+    recorder->OnLifecycleEvent({net::UnixNow(), net::Now()}, core::LifecycleEvent::kServing, 0, address, 0);
   front::Run(loop, signals, coordinator, front, events, recorder.get());
 }
 
@@ -209,9 +215,9 @@
 
 }  // namespace
 
-void DescribeServe(Options& options) {
-  DescribeFile(options);
-  DescribeLog(options);
+void AddServeOptions(Options& options) {
+  AddFileOptions(options);
+  AddLogOptions(options);
 }
 
 int RunServe(const Values& values, const std::vector<std::string>&) {
@@ -232,7 +238,7 @@
 int RunCheckConfig(const Values& values, const std::vector<std::string>&) {
   values.count("operator-file") > 0 ? static_cast<void>(ReadGateway(values))
                                     : static_cast<void>(config::ReadPlatform());
-  std::cout << "the configuration is in order\n";
+  std::cout << "the configuration is valid\n";
   return 0;
 }
 
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -1,4 +1,5 @@
-// The one place where configuration is read, checked and given defaults. Every error names the faulty key.
+// Reads and validates the configuration and supplies its defaults; no other part of the program does. Every
+// error names the faulty key.
 #pragma once
 
 #include <cstdint>
@@ -13,59 +14,63 @@
 
 namespace tinspan::config {
 
+/// A configuration that cannot be read or is invalid.
 struct Error : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 struct Limits {
   std::size_t memory_mb = 192;
-  std::size_t sockets = 1024;  // 64 at least
+  std::size_t sockets = 1024;  // descriptors in total, at least 64
 
-  // How the descriptors are shared out. What is neither a client's nor a server's (the log, epoll, signals,
-  // listeners, two connections to the change log, the operators' door and eight callers) is kept free first,
-  // so that clients who fill their part and rest shut out neither.
+  /// Descriptors reserved for everything but client and server connections: the log, epoll, signals,
+  /// listeners, two connections to the change log, the admin listener and its eight callers. They are
+  /// deducted before the rest is divided between clients and servers, so that idle clients that use up their
+  /// share block neither these nor the server connections.
   static constexpr std::size_t kKept = 20;
   std::size_t ClientSockets() const { return (sockets - kKept) * 5 / 8; }
   std::size_t ServerSockets() const { return (sockets - kKept) / 4; }
-  std::size_t PartingSockets() const { return (sockets - kKept) / 16; }  // clients whose end is awaited
+  /// For client connections that linger after the last response until the client closes them.
+  std::size_t PartingSockets() const { return (sockets - kKept) / 16; }
 };
 
-// The fleet view (docs/design/members.md); absent from the file: off.
+/// The fleet view (docs/design/members.md). It is off if the file has no `members`.
 struct Members {
-  std::string fleet;  // letters, digits, '-', '_', '.'; datagrams of another fleet are refused
+  std::string fleet;  // letters, digits, '-', '_', '.'; datagrams of another fleet are rejected
   net::Endpoint listen;
   std::optional<net::Endpoint> advertise;
   std::string zone;
   std::vector<net::Endpoint> seeds;
-  Micros probe{1'000'000};        // the period of probes, 50 ms to 60 s
-  Micros probe_timeout{500'000};  // under the period
-  int indirect = 3;               // 1 to 8
-  double alpha = 4;               // above 0
-  double beta = 6;                // 1 at least
-  int retransmit = 4;             // 1 to 16
-  Micros sync{10'000'000};        // the probe's period at least
-  Micros dead_keep{60'000'000};   // ten periods at least
+  Micros probe_interval{1'000'000};   // 50 ms to 60 s
+  Micros probe_timeout{500'000};      // less than probe_interval
+  int indirect_probes = 3;            // 1 to 8
+  double suspicion_alpha = 4;         // above 0
+  double suspicion_beta = 6;          // at least 1
+  int retransmit_multiplier = 4;      // 1 to 16
+  Micros sync_interval{10'000'000};   // at least probe_interval
+  Micros dead_retention{60'000'000};  // at least ten times probe_interval
 };
 
-// Duties that one doorman holds at a time (docs/design/leases.md); absent from the file: off. Needs
-// `members`.
+/// Leased duties, each held by one instance at a time (docs/design/leases.md). They are off if the file has
+/// no `leases`; they require `members`.
 struct Leases {
-  std::vector<std::string> voters;  // 3, 5, 7 or 9 names of members, the same in every file
-  Micros length{10'000'000};        // 500 ms to 10 minutes
-  double drift = 0.1;               // 0 to 0.4: how far clocks may run from true time
-  std::size_t candidates = 3;       // 1 to 16
-  bool start_alone = true;          // a voter that forgot and cannot ask a majority votes all the same, later
-  struct Publish {                  // the duty `health`: where it writes its record
+  std::vector<std::string> voters;    // 3, 5, 7 or 9 member names, the same in every file
+  Micros lease_duration{10'000'000};  // 500 ms to 10 minutes
+  double max_clock_drift = 0.1;       // 0 to 0.4: maximum relative error of a clock's rate
+  std::size_t candidate_count = 3;    // 1 to 16
+  bool can_start_alone = true;  // a voter that lost its state and reaches no majority votes after a delay
+  struct HealthPublication {    // the duty `health`: where its holder writes the record
     net::Endpoint store;
-    std::string key;          // letters, digits, '-', '_', '.' and '/'
-    Micros every{5'000'000};  // 100 ms to an hour
+    std::string key;             // letters, digits, '-', '_', '.' and '/'
+    Micros interval{5'000'000};  // 100 ms to an hour
   };
-  std::optional<Publish> publish;
-  bool purge = false;  // the duty `purge`: operators' purges reach every doorman. At the gateway
+  std::optional<HealthPublication> health_publication;
+  // The duty `purge` (gateway only): its holder distributes operators' purges to every instance.
+  bool distributes_purges = false;
 };
 
-// What holds for either front.
-struct Common {
+/// Configuration common to the platform and the gateway.
+struct CommonConfig {
   std::string name = "tinspan";
   net::Endpoint listen;
   std::uint64_t seed = 0;
@@ -73,50 +78,54 @@
   Site site;
   Micros connect_timeout{400'000};
   Micros idle_close{30'000'000};
-  std::size_t exchanges = 100;  // at once on one connection to a server
-  Micros longest{6'000'000};    // the longest deadline of a class
-  Micros slack{2'000};          // taken off what a client allows
-  // The operators' door: on the platform $PROXY_OPS, else `ops` of the file (a second process of an upgrade
-  // is told a new one in the variable, with the file unchanged); at the gateway `ops` of its file. Absent:
-  // there is none.
+  std::size_t exchanges = 100;    // concurrent, on one connection to a server
+  Micros longest{6'000'000};      // the longest deadline of any class
+  Micros response_margin{2'000};  // deducted from the time that a client allows
+  // The address of the admin listener; without one there is no admin listener. On the platform $PROXY_OPS
+  // takes precedence over `ops` of the file, so that the second process of an upgrade can listen elsewhere
+  // with the same file. The gateway uses `ops` of its file.
   std::optional<net::Endpoint> ops;
   std::optional<Members> members;
   std::optional<Leases> leases;
 };
 
-// The platform: PROXY_NAME, PROXY_LISTEN and PROXY_CONFIG.
-struct Platform : Common {
+/// Configuration on the platform: PROXY_NAME, PROXY_LISTEN and the file at PROXY_CONFIG.
+struct Platform : CommonConfig {
   net::Endpoint changelog;
   std::uint64_t known_seq = 0;
-  std::vector<std::string> known;  // the change log's events up to the start, each one JSON object
+  std::vector<std::string> known;  // change log events up to known_seq, each a JSON object
 };
 
-// The gateway between sites: an operator's file.
+/// What must carry a client's authorization at the gateway: nothing, a signed link, a bearer token, or either
+/// of the two.
 enum class Carrier { kOpen, kLink, kToken, kEither };
-struct Route {  // of the class at the same place in the settings
+/// The requests of the class with the same index in the settings.
+struct Route {
   std::string prefix;
   Carrier access = Carrier::kEither;
 };
 struct ConsulService {
   std::string name;
-  std::string kind;  // of the machines that are registered under it
+  std::string kind;  // of the servers registered under `name`
 };
-struct Record {  // the flight recorder; off where `folder` is empty
+/// The flight recorder; off if `folder` is empty.
+struct Record {
   std::string folder;
   std::uint64_t segment_bytes = 8 << 20;
   Micros segment_age{600'000'000};
   std::uint64_t total_bytes = 256 << 20;
-  std::uint32_t sample_ppm = 10'000;  // of requests that went well
+  std::uint32_t sample_ppm = 10'000;  // traced share of the successful requests
 };
-struct Http : Common {
+/// Configuration of the gateway between sites: an operator's file.
+struct Http : CommonConfig {
   std::string path;       // of the operator's file
   std::string origin;     // scheme and authority under which links are signed
-  std::string authority;  // the latter alone
+  std::string authority;  // of `origin`
   std::string audience;
-  std::string keys_path;  // read again on SIGHUP
+  std::string keys_path;  // reloaded on SIGHUP
   std::string keys;       // a JWK set
   std::string signing_key;
-  std::string operator_token;  // empty: there is no operator's endpoint
+  std::string operator_token;  // if empty, the operator's endpoint is off
   Micros leeway{5'000'000};
   Micros stall{10'000'000};
   std::size_t most_body = 48'000;
@@ -124,17 +133,23 @@
   net::Endpoint consul;
   std::string consul_token;
   Micros consul_wait{30'000'000};
-  std::string consul_zone;  // of nodes that name none
+  std::string consul_zone;  // for nodes that specify none
   std::vector<ConsulService> consul_services;
   Record record;
 };
 
-// Throws Error.
+/// Reads a gateway's file and the files that it names. Throws Error.
 Http ReadHttp(const std::string& path);
+/// Returns the content of a file. Throws Error, which names `key`, if the file cannot be read.
 std::string ReadFile(const std::string& key, const std::string& path);
+/// Reads the platform's configuration from the environment variables and the file. Throws Error.
 Platform ReadPlatform();
+/// Parses the platform's file. Throws Error, with the line of the faulty key if the key is in the file.
 Platform ParsePlatform(std::string_view json, const std::string& name, const std::string& listen);
-// For an error of the form "KEY: ...": the same with the line of `text` on which KEY stands.
-std::string WithLine(std::string_view text, const std::string& message);
+/// Adds the line number of the faulty key to an error message: "KEY: expected ..." becomes "KEY (line N):
+/// expected ...". N is the line where `text` first has the last part of KEY; for a key of class K, the line
+/// of occurrence K, counted from 0. Returns the message unchanged if `text` has no such occurrence, or if the
+/// last part is an index into a list.
+std::string AddLineNumber(std::string_view text, const std::string& message);
 
 }  // namespace tinspan::config
--- a/src/drill/drill.cpp
+++ b/src/drill/drill.cpp
@@ -17,7 +17,8 @@
 
 using Fields = std::vector<std::string_view>;
 
-// One line's fields, taken by place and name; absent values and missing trailing ones read as zero.
+// The tab-separated fields of one line. Accessors take the index of a field, and its name for error messages;
+// they throw Malformed if the field is missing or invalid. GetOrZero returns zero for an absent field.
 class Line {
  public:
   void Read(std::string_view text) {
@@ -30,29 +31,29 @@
     }
   }
   std::string_view Name() const { return fields_[0]; }
-  const Fields& All() const { return fields_; }
-  std::string_view Text(std::size_t place, std::string_view field) const {
-    if (place >= fields_.size()) throw Malformed{std::string(field), "a value, but the line ends"};
-    return fields_[place];
+  const Fields& AllFields() const { return fields_; }
+  std::string_view Text(std::size_t index, std::string_view field) const {
+    if (index >= fields_.size()) throw Malformed{std::string(field), "a value, but the line ends"};
+    return fields_[index];
   }
-  bool Has(std::size_t place) const { return place < fields_.size() && !IsAbsent(fields_[place]); }
+  bool Has(std::size_t index) const { return index < fields_.size() && !IsAbsent(fields_[index]); }
   template <class Number>
-  Number Get(std::size_t place, std::string_view field) const {
-    return ParseNumber<Number>(Text(place, field), field);
+  Number Get(std::size_t index, std::string_view field) const {
+    return ParseNumber<Number>(Text(index, field), field);
   }
   template <class Number>
-  Number GetOrZero(std::size_t place, std::string_view field) const {
-    return Has(place) ? Get<Number>(place, field) : Number{};
+  Number GetOrZero(std::size_t index, std::string_view field) const {
+    return Has(index) ? Get<Number>(index, field) : Number{};
   }
-  Micros Millis(std::size_t place, std::string_view field) const {
-    return ParseMillis(Text(place, field), field);
+  Micros Millis(std::size_t index, std::string_view field) const {
+    return ParseMillis(Text(index, field), field);
   }
-  bool Bool(std::size_t place, std::string_view field) const {
-    const std::string_view text = Text(place, field);
+  bool Bool(std::size_t index, std::string_view field) const {
+    const std::string_view text = Text(index, field);
     if (text != "0" && text != "1") throw Malformed{std::string(field), "1 or 0"};
     return text == "1";
   }
-  void AtMost(std::size_t count) const {
+  void ExpectAtMost(std::size_t count) const {
     if (fields_.size() > count) throw Malformed{"end of line", "no further value"};
   }
 
@@ -61,7 +62,7 @@
 };
 
 struct Instance {
-  std::unique_ptr<Router> router;  // null until power_on and after halt
+  std::unique_ptr<Router> router;  // null before power_on and after halt
   Site site;
 };
 
@@ -78,22 +79,22 @@
                           {"none_here", Outcome::kMiss}});
 }
 
-class Player {
+class Adapter {
  public:
-  Player(std::istream& in, std::ostream& out) : in_(in), out_(out) {}
+  Adapter(std::istream& in, std::ostream& out) : in_(in), out_(out) {}
 
-  // Plays to the end of input. Throws Malformed.
+  // Processes the input to its end. Throws Malformed.
   void Run() {
     while (NextLine()) {
       if (line_.Name() != "clock") throw Malformed{"message", "clock"};
       now_ = line_.Millis(1, "clock");
-      line_.AtMost(2);
+      line_.ExpectAtMost(2);
       reply_.clear();
-      at_ = nullptr;
+      instance_ = nullptr;
       while (true) {
         if (!NextLine()) throw Malformed{"message", "an event or commit, but the input ends"};
         if (line_.Name() == "commit") break;
-        Event();
+        HandleEvent();
       }
       reply_ += "done\n";
       out_.write(reply_.data(), static_cast<std::streamsize>(reply_.size()));
@@ -103,104 +104,108 @@
   std::size_t LineNumber() const { return line_number_; }
 
  private:
-  struct Row {
-    EndpointInfo member;
+  struct EndpointRow {
+    EndpointInfo endpoint;
     std::string kind;
     std::string zone;
   };
-  struct List {
-    bool defined = false;
-    std::vector<Row> rows;
-    std::vector<EndpointInfo> members;  // rows with kinds and zones placed by the names below
+  struct EndpointList {
+    bool is_defined = false;
+    std::vector<EndpointRow> rows;
+    std::vector<EndpointInfo> endpoints;  // the rows with kind and zone ids, for the names below
     Names zones;
     Names kinds;
   };
 
   bool NextLine() {
-    if (!std::getline(in_, text_)) return false;
+    if (!std::getline(in_, line_text_)) return false;
     ++line_number_;
-    line_.Read(text_);
+    line_.Read(line_text_);
     return true;
   }
 
-  void Event() {
+  void HandleEvent() {
     const std::string_view name = line_.Name();
     if (name == "at") {
-      at_number_ = line_.Get<std::int64_t>(1, "gatewayId");
-      line_.AtMost(2);
-      at_ = &instances_[at_number_];
+      instance_id_ = line_.Get<std::int64_t>(1, "gatewayId");
+      line_.ExpectAtMost(2);
+      instance_ = &instances_[instance_id_];
       return;
     }
     if (name == "define_list") return DefineList();
-    if (at_ == nullptr) throw Malformed{"message", "an instance named by 'at' before '" + Quoted() + "'"};
+    if (instance_ == nullptr)
+      throw Malformed{"message", "an instance named by 'at' before '" + EventName() + "'"};
     if (name == "power_on") return PowerOn();
-    if (!at_->router) throw Malformed{"gatewayId", "an instance that has been started"};
+    if (!instance_->router) throw Malformed{"gatewayId", "an instance that has been started"};
     if (name == "halt") {
-      line_.AtMost(1);
-      *at_ = Instance{};
+      line_.ExpectAtMost(1);
+      *instance_ = Instance{};
       return;
     }
-    if (name == "req") return Pass(ReadRequest());
-    if (name == "result") return Pass(ReadResult());
-    if (name == "ring") return Pass(TimerEvent{line_.Get<std::uint64_t>(1, "ref")}, 2);
+    if (name == "req") return Deliver(ReadRequest());
+    if (name == "result") return Deliver(ReadResult());
+    if (name == "ring") return Deliver(TimerEvent{line_.Get<std::uint64_t>(1, "ref")}, 2);
     if (name == "started") {
-      return Pass(ResponseStartedEvent{ReadId(), line_.Get<std::uint32_t>(3, "seqNo")}, 5);
+      return Deliver(ResponseStartedEvent{ReadId(), line_.Get<std::uint32_t>(3, "seqNo")}, 5);
     }
-    if (name == "hangup") return Pass(ClientDisconnectedEvent{ReadId()}, 2);
-    if (name == "invalidated") return Pass(ReadPurge());
+    if (name == "hangup") return Deliver(ClientDisconnectedEvent{ReadId()}, 2);
+    if (name == "invalidated") return Deliver(ReadPurge());
     if (name == "roster_change") return RosterChange();
-    if (name == "ping_result" || name == "mail") return;  // neither probes nor messages are used
-    throw Malformed{"message", "a known event, not '" + Quoted() + "'"};
+    if (name == "ping_result" || name == "mail") return;  // probe results and messages are ignored
+    throw Malformed{"message", "a known event, not '" + EventName() + "'"};
   }
-  std::string Quoted() const { return std::string(line_.Name()); }
+  std::string EventName() const { return std::string(line_.Name()); }
   RequestId ReadId() const { return RequestId{line_.Get<std::uint64_t>(1, "job")}; }
 
   void DefineList() {
     const auto number = line_.Get<std::uint32_t>(1, "setId");
     if (number > 15) throw Malformed{"setId", "a list number from 0 to 15"};
     const auto count = line_.Get<std::uint32_t>(2, "nodesList");
-    line_.AtMost(3);
-    List& list = lists_[number];
-    list = List{};
-    list.defined = true;
+    line_.ExpectAtMost(3);
+    EndpointList& list = lists_[number];
+    list = EndpointList{};
+    list.is_defined = true;
     for (std::uint32_t i = 0; i < count; ++i) {
       if (!NextLine()) throw Malformed{"message", "row, but the input ends"};
       if (line_.Name() != "row") throw Malformed{"message", "row"};
-      Row row;
-      row.member.id = Intern(line_.Text(1, "cache"));
-      row.member.weight = line_.Has(2) ? line_.Get<double>(2, "nominal") : 0.0;
-      row.member.availability = Choose<Availability>(
+      EndpointRow row;
+      row.endpoint.id = RegisterAddress(line_.Text(1, "cache"));
+      row.endpoint.weight = line_.Has(2) ? line_.Get<double>(2, "nominal") : 0.0;
+      row.endpoint.availability = Choose<Availability>(
           line_.Text(3, "availability"), "availability",
           {{"on", Availability::kUp}, {"fading", Availability::kDraining}, {"off", Availability::kRemoved}});
-      row.member.cell = line_.GetOrZero<std::uint32_t>(4, "pod");
+      row.endpoint.cell = line_.GetOrZero<std::uint32_t>(4, "pod");
       row.kind = line_.Text(5, "machine");
-      row.member.started_at = line_.Has(6) ? line_.Millis(6, "sinceMs") : Micros{0};
+      row.endpoint.started_at = line_.Has(6) ? line_.Millis(6, "sinceMs") : Micros{0};
       row.zone = line_.Text(7, "area");
-      line_.AtMost(8);
+      line_.ExpectAtMost(8);
       list.rows.push_back(std::move(row));
     }
   }
 
-  ServerId Intern(std::string_view address) {
+  ServerId RegisterAddress(std::string_view address) {
     if (address.empty() || address == "-") throw Malformed{"cache", "address:port"};
     const auto hash = static_cast<std::uint64_t>(HashName(address));
-    const auto [place, added] = addresses_.try_emplace(hash, address);
-    if (!added && place->second != address) throw Malformed{"cache", "an address with a hash of its own"};
+    const auto [entry, was_added] = addresses_.try_emplace(hash, address);
+    if (!was_added && entry->second != address)
+      throw Malformed{"cache", "an address whose hash differs from that of any other address"};
     return ServerId{hash};
   }
 
   void PowerOn() {
     const auto seed = line_.Get<std::uint64_t>(1, "initSeed");
-    *at_ = Instance{};
-    Setup setup;
-    for (std::size_t i = 2; i < line_.All().size(); ++i) {
-      const std::string_view pair = line_.All()[i];
-      const std::size_t mark = pair.find('=');
-      if (mark == std::string_view::npos) throw Malformed{"setup", "path=value"};
-      setup.Add(pair.substr(0, mark), pair.substr(mark + 1));
+    *instance_ = Instance{};
+    SettingsMap settings;
+    for (std::size_t i = 2; i < line_.AllFields().size(); ++i) {
+      const std::string_view pair = line_.AllFields()[i];
+      const std::size_t equals_sign = pair.find('=');
+      if (equals_sign == std::string_view::npos) throw Malformed{"setup", "path=value"};
+      settings.Add(pair.substr(0, equals_sign), pair.substr(equals_sign + 1));
     }
-    at_->site = ReadSite(setup);
-    Perform([&] { at_->router = std::make_unique<Router>(at_->site.settings, seed, now_, actions_); });
+    instance_->site = ReadSite(settings);
+    CallModule([&] {
+      instance_->router = std::make_unique<Router>(instance_->site.settings, seed, now_, actions_);
+    });
   }
 
   void RosterChange() {
@@ -211,31 +216,32 @@
                                {"whole", Kind::kFull},
                                {"stale_copy", Kind::kStale},
                                {"broken", Kind::kWatchBroken}});
-    line_.AtMost(4);
+    line_.ExpectAtMost(4);
     if (event.kind != Kind::kWatchBroken) {
       const auto number = line_.Get<std::uint32_t>(2, "setId");
-      if (number > 15 || !lists_[number].defined) throw Malformed{"setId", "a list that was defined"};
-      event.endpoints = Placed(lists_[number]);
+      if (number > 15 || !lists_[number].is_defined) throw Malformed{"setId", "a list that was defined"};
+      event.endpoints = ResolveEndpoints(lists_[number]);
     }
-    Pass(event);
+    Deliver(event);
   }
 
-  // The members of a list, kinds and zones placed once for all instances with the same names.
-  const std::vector<EndpointInfo>& Placed(List& list) {
-    if (list.members.size() == list.rows.size() && list.zones == at_->site.zones &&
-        list.kinds == at_->site.kinds) {
-      return list.members;
+  // Returns the endpoints of a list with kind and zone ids. The result is cached: instances with the same
+  // zone and kind names share it.
+  const std::vector<EndpointInfo>& ResolveEndpoints(EndpointList& list) {
+    if (list.endpoints.size() == list.rows.size() && list.zones == instance_->site.zones &&
+        list.kinds == instance_->site.kinds) {
+      return list.endpoints;
     }
-    list.zones = at_->site.zones;
-    list.kinds = at_->site.kinds;
-    list.members.clear();
-    for (const Row& row : list.rows) {
-      EndpointInfo member = row.member;
-      member.kind = KindId{PlaceOf(list.kinds, row.kind, "machine")};
-      member.zone = ZoneId{PlaceOf(list.zones, row.zone, "area")};
-      list.members.push_back(member);
+    list.zones = instance_->site.zones;
+    list.kinds = instance_->site.kinds;
+    list.endpoints.clear();
+    for (const EndpointRow& row : list.rows) {
+      EndpointInfo endpoint = row.endpoint;
+      endpoint.kind = KindId{PlaceOf(list.kinds, row.kind, "machine")};
+      endpoint.zone = ZoneId{PlaceOf(list.zones, row.zone, "area")};
+      list.endpoints.push_back(endpoint);
     }
-    return list.members;
+    return list.endpoints;
   }
 
   RequestEvent ReadRequest() {
@@ -243,14 +249,14 @@
     event.id = ReadId();
     event.time_left = line_.Millis(2, "ttlMs");
     event.is_retry = (line_.GetOrZero<std::uint32_t>(3, "marks") & 2u) != 0;
-    event.class_id = ClassId{PlaceOf(at_->site.classes, line_.Text(4, "tierClass"), "tierClass")};
+    event.class_id = ClassId{PlaceOf(instance_->site.classes, line_.Text(4, "tierClass"), "tierClass")};
     event.group = GroupId{line_.GetOrZero<std::uint64_t>(5, "labelNo")};
     event.size_kb = line_.GetOrZero<double>(6, "volumeKb");
     event.part = line_.GetOrZero<std::uint32_t>(7, "rangeNo");
     if (line_.Has(9) && line_.Text(9, "resource") != "0") {
       event.object = ParseObject(line_.Text(9, "resource"), "resource");
     }
-    line_.AtMost(10);
+    line_.ExpectAtMost(10);
     return event;
   }
 
@@ -265,10 +271,10 @@
     if (note > static_cast<std::uint32_t>(FillNote::kOriginFailed)) {
       throw Malformed{"detail", "a note from 0 to 10"};
     }
-    event.note = static_cast<FillNote>(note);  // the interface lists the notes in the wire's order
+    event.note = static_cast<FillNote>(note);  // FillNote lists the notes in the order of the wire format
     if (line_.Has(8)) event.fill_wait = line_.Millis(8, "waitedMs");
     if (line_.Has(9)) event.load = ReadLoad(line_.Text(9, "stats"), ',');
-    line_.AtMost(10);
+    line_.ExpectAtMost(10);
     return event;
   }
 
@@ -279,19 +285,20 @@
     if (line_.Has(3) && line_.Text(3, "resource") != "0") {
       event.object = ParseObject(line_.Text(3, "resource"), "resource");
     }
-    line_.AtMost(4);
+    line_.ExpectAtMost(4);
     return event;
   }
 
   template <class EventType>
-  void Pass(const EventType& event, std::size_t fields_at_most = std::size_t(-1)) {
-    line_.AtMost(fields_at_most);
-    Perform([&] { at_->router->Handle(now_, event, actions_); });
+  void Deliver(const EventType& event, std::size_t max_fields = std::size_t(-1)) {
+    line_.ExpectAtMost(max_fields);
+    CallModule([&] { instance_->router->Handle(now_, event, actions_); });
   }
 
-  // Runs the module and writes what it wants done; an exception of the module ends the day by `die`.
+  // Calls the module and writes its actions. If the module throws, writes a `die` line, which ends the
+  // simulation run.
   template <class Call>
-  void Perform(const Call& call) {
+  void CallModule(const Call& call) {
     actions_.clear();
     std::string failure;
     try {
@@ -302,108 +309,110 @@
       failure = error.what();
     }
     if (actions_.empty() && failure.empty()) return;
-    reply_.append("for\t").append(std::to_string(at_number_)).append("\n");
+    reply_.append("for\t").append(std::to_string(instance_id_)).append("\n");
     for (const Action& action : actions_) {
-      std::visit([this](const auto& one) { Write(one); }, action);
+      std::visit([this](const auto& alternative) { AppendAction(alternative); }, action);
     }
     if (!failure.empty()) reply_.append("die\t").append(failure).append("\n");
   }
 
-  void Put(std::uint64_t value) {
+  void AppendNumber(std::uint64_t value) {
     char digits[24];
     const auto end = std::to_chars(digits, digits + sizeof digits, value).ptr;
     reply_.append(digits, end);
   }
-  void PutMillis(Micros time) {
+  void AppendMillis(Micros time) {
     auto count = time.count();
     if (count < 0) {
       reply_ += '-';
       count = -count;
     }
-    Put(static_cast<std::uint64_t>(count / 1000));
+    AppendNumber(static_cast<std::uint64_t>(count / 1000));
     const auto rest = static_cast<unsigned>(count % 1000);
     reply_ += '.';
     reply_ += static_cast<char>('0' + rest / 100);
     reply_ += static_cast<char>('0' + rest / 10 % 10);
     reply_ += static_cast<char>('0' + rest % 10);
   }
-  void Begin(std::string_view name, RequestId id) {
+  void BeginAction(std::string_view name, RequestId id) {
     reply_.append(name).append("\t");
-    Put(static_cast<std::uint64_t>(id));
+    AppendNumber(static_cast<std::uint64_t>(id));
   }
-  void PutAddress(ServerId id) {
+  void AppendAddress(ServerId id) {
     const auto found = addresses_.find(static_cast<std::uint64_t>(id));
-    if (found == addresses_.end()) throw std::logic_error("the module named a server that no list had");
+    if (found == addresses_.end())
+      throw std::logic_error("the module named a server that is in no endpoint list");
     reply_ += found->second;
   }
 
-  void Write(const SendAttempt& one) {
-    Begin("read_through", one.id);
+  void AppendAction(const SendAttempt& action) {
+    BeginAction("read_through", action.id);
     reply_ += '\t';
-    PutAddress(one.server);
+    AppendAddress(action.server);
     reply_ += '\t';
-    PutMillis(one.max_age);
+    AppendMillis(action.max_age);
     reply_ += '\t';
-    PutMillis(one.expires_at);
+    AppendMillis(action.expires_at);
     reply_ += '\t';
-    Put(one.cache_rank);
+    AppendNumber(action.cache_rank);
     reply_ += '\t';
-    PutAddress(one.source);
+    AppendAddress(action.source);
     reply_ += '\t';
-    Put((one.join_fill ? 1u : 0u) + (one.source_cached_only ? 2u : 0u) + (one.bypass_parent ? 4u : 0u) +
-        (one.revalidate ? 8u : 0u));
+    AppendNumber((action.join_fill ? 1u : 0u) + (action.source_cached_only ? 2u : 0u) +
+                 (action.bypass_parent ? 4u : 0u) + (action.revalidate ? 8u : 0u));
     reply_ += '\n';
   }
-  void Write(const CancelAttempt& one) {
-    Begin("abort_attempt", one.id);
+  void AppendAction(const CancelAttempt& action) {
+    BeginAction("abort_attempt", action.id);
     reply_ += '\t';
-    Put(one.attempt);
+    AppendNumber(action.attempt);
     reply_ += '\n';
   }
-  void Write(const Reject& one) {
-    Begin("not_now", one.id);
+  void AppendAction(const Reject& action) {
+    BeginAction("not_now", action.id);
     reply_ += '\t';
-    PutMillis(one.retry_after);
+    AppendMillis(action.retry_after);
     reply_ += '\n';
   }
-  void Write(const Fail& one) {
-    Begin("error", one.id);
+  void AppendAction(const Fail& action) {
+    BeginAction("error", action.id);
     reply_ += '\n';
   }
-  void Write(const SetTimer& one) {
+  void AppendAction(const SetTimer& action) {
     reply_ += "arm\t";
-    PutMillis(one.at);
+    AppendMillis(action.at);
     reply_ += '\t';
-    Put(one.token);
+    AppendNumber(action.token);
     reply_ += '\n';
   }
-  void Write(const Subscribe&) { reply_ += "listen\t1\n"; }
-  void Write(const LogLine& one) { reply_.append("remark\t").append(one.text).append("\n"); }
+  void AppendAction(const Subscribe&) { reply_ += "listen\t1\n"; }
+  void AppendAction(const LogLine& action) { reply_.append("remark\t").append(action.text).append("\n"); }
 
   std::istream& in_;
   std::ostream& out_;
-  std::string text_;
+  std::string line_text_;
   Line line_;
   std::size_t line_number_ = 0;
   Micros now_{0};
   std::string reply_;
   Actions actions_;
   std::map<std::int64_t, Instance> instances_;
-  Instance* at_ = nullptr;
-  std::int64_t at_number_ = 0;
-  List lists_[16];
-  std::unordered_map<std::uint64_t, std::string> addresses_;  // looked up only, never walked
+  Instance* instance_ = nullptr;
+  std::int64_t instance_id_ = 0;
+  EndpointList lists_[16];
+  // By hash of the address. Never iterated, because the order is unspecified.
+  std::unordered_map<std::uint64_t, std::string> addresses_;
 };
 
 }  // namespace
 
-int Play(std::istream& in, std::ostream& out, std::ostream& err) {
-  Player player(in, out);
+int RunAdapter(std::istream& in, std::ostream& out, std::ostream& err) {
+  Adapter adapter(in, out);
   try {
-    player.Run();
-  } catch (const Malformed& wrong) {
-    err << "tinspan_drill: line " << player.LineNumber() << ": " << wrong.field << ": expected "
-        << wrong.expected << std::endl;
+    adapter.Run();
+  } catch (const Malformed& malformed) {
+    err << "tinspan_drill: line " << adapter.LineNumber() << ": " << malformed.field << ": expected "
+        << malformed.expected << std::endl;
     return 2;
   }
   return 0;
--- a/src/drill/drill.hpp
+++ b/src/drill/drill.hpp
@@ -1,12 +1,13 @@
-// The wire adapter: lines of text in, one Router for each instance, lines of text out. It decides nothing.
+// The simulator's adapter: reads events as lines of text, passes them to one Router per instance and writes
+// the actions as lines of text. It makes no routing decisions.
 #pragma once
 
 #include <iosfwd>
 
 namespace tinspan::drill {
 
-// Plays batches from `in` until it ends and writes one flushed reply for each to `out`.
-// Returns 0 at the end of input, or 2 after a plain message on `err` if a line is malformed.
-int Play(std::istream& in, std::ostream& out, std::ostream& err);
+/// Processes batches of events from `in` until it ends; writes and flushes one reply to `out` for each batch.
+/// Returns 0 at the end of the input. If a line is malformed, writes a message to `err` and returns 2.
+int RunAdapter(std::istream& in, std::ostream& out, std::ostream& err);
 
 }  // namespace tinspan::drill
--- a/src/drill/main.cpp
+++ b/src/drill/main.cpp
@@ -5,5 +5,5 @@
 int main() {
   std::ios::sync_with_stdio(false);
   std::cin.tie(nullptr);
-  return tinspan::drill::Play(std::cin, std::cout, std::cerr);
+  return tinspan::drill::RunAdapter(std::cin, std::cout, std::cerr);
 }
--- a/src/setup/retune.cpp
+++ b/src/setup/retune.cpp
@@ -4,37 +4,41 @@
 
 namespace tinspan {
 
-bool FindClass(const Names& classes, std::string_view name, std::size_t& place) {
+bool FindClass(const Names& classes, std::string_view name, std::size_t& index) {
   for (std::size_t i = classes.size(); i-- > 0;) {
     if (classes[i] == name) {
-      place = i;
+      index = i;
       return true;
     }
   }
   return false;
 }
 
-Retuned Retune(const Site& now, const Site& told) {
-  Retuned out;
-  out.site = now;
-  std::vector<ClassSettings>& classes = out.site.settings.classes;
-  for (std::size_t i = 0; i < told.classes.size(); ++i) {
-    std::size_t place = 0;
-    if (FindClass(now.classes, told.classes[i], place) && classes[place] == told.settings.classes[i])
+Retuned Retune(const Site& current, const Site& updated) {
+  Retuned result;
+  result.site = current;
+  std::vector<ClassSettings>& classes = result.site.settings.classes;
+  for (std::size_t i = 0; i < updated.classes.size(); ++i) {
+    std::size_t index = 0;
+    if (FindClass(current.classes, updated.classes[i], index) &&
+        classes[index] == updated.settings.classes[i])
       continue;
-    out.site.classes.push_back(told.classes[i]);
-    classes.push_back(told.settings.classes[i]);
-    out.added.push_back(told.classes[i]);
+    result.site.classes.push_back(updated.classes[i]);
+    classes.push_back(updated.settings.classes[i]);
+    result.added.push_back(updated.classes[i]);
   }
-  for (const std::string& name : now.classes) {
-    const bool told_again = std::find(told.classes.begin(), told.classes.end(), name) != told.classes.end();
-    const bool listed = std::find(out.dropped.begin(), out.dropped.end(), name) != out.dropped.end();
-    if (!told_again && !listed) out.dropped.push_back(name);
+  for (const std::string& name : current.classes) {
+    const bool is_in_update =
+        std::find(updated.classes.begin(), updated.classes.end(), name) != updated.classes.end();
+    const bool is_already_listed =
+        std::find(result.dropped.begin(), result.dropped.end(), name) != result.dropped.end();
+    if (!is_in_update && !is_already_listed) result.dropped.push_back(name);
   }
-  // A name no longer told changes nothing: it keeps its place.
-  out.changed = !out.added.empty() || out.site.settings.max_attempts != told.settings.max_attempts;
-  out.site.settings.max_attempts = told.settings.max_attempts;
-  return out;
+  // A class that the new settings omit keeps its index, so it is not counted as a change.
+  result.changed =
+      !result.added.empty() || result.site.settings.max_attempts != updated.settings.max_attempts;
+  result.site.settings.max_attempts = updated.settings.max_attempts;
+  return result;
 }
 
 }  // namespace tinspan
--- a/src/setup/retune.hpp
+++ b/src/setup/retune.hpp
@@ -1,11 +1,13 @@
-// Retuning on SIGHUP, without I/O: the classes of a newly told file against those in force.
+// Applies reloaded settings (SIGHUP) to the settings in effect, without I/O.
 //
-// Promises: the classes in force keep their places, so that requests that are open keep their class's
-// rules; a class that is added, or told again with other rules, takes a new place after them, and its name
-// is looked up there from now on (the last place of a name wins). A class that is no longer told keeps its
-// place and name: clients go on naming it for a while. Of the rest of the settings only the number of
-// attempts is taken (for requests that come from now on); everything else holds as it was, since it
-// describes the fleet and would need a restart.
+// Guarantees:
+// - Existing classes keep their indices, so that open requests keep the rules of their class.
+// - A class that is new, or whose rules changed, is appended. Its name resolves to the new index from then
+//   on: the last class of a name wins.
+// - A class that the new settings omit keeps its index and name, because clients continue to use the name
+//   for a while.
+// - Of the other settings only the maximum number of attempts is applied, to requests received from then
+//   on. The rest describes the fleet and takes effect only after a restart.
 #pragma once
 
 #include <string>
@@ -15,16 +17,19 @@
 
 namespace tinspan {
 
+/// The settings that result from a reload, and what differs from the previous ones.
 struct Retuned {
   Site site;
-  std::vector<std::string> added;    // names that took a new place
-  std::vector<std::string> dropped;  // names no longer told
-  bool changed = false;              // a class added or changed, or other attempts
+  std::vector<std::string> added;    // names of the classes that were appended
+  std::vector<std::string> dropped;  // names of the classes that the new settings omit
+  bool changed = false;              // a class was appended, or the number of attempts differs
 };
 
-Retuned Retune(const Site& now, const Site& told);
+/// Merges the reloaded settings `updated` into `current`; see the guarantees above.
+Retuned Retune(const Site& current, const Site& updated);
 
-// The place of the class named `name`, the last one of that name; false where there is none.
-bool FindClass(const Names& classes, std::string_view name, std::size_t& place);
+/// Stores the index of the last class named `name` in `index`. Returns false and leaves `index` unchanged if
+/// there is no such class.
+bool FindClass(const Names& classes, std::string_view name, std::size_t& index);
 
 }  // namespace tinspan
--- a/src/setup/setup.hpp
+++ b/src/setup/setup.hpp
@@ -1,5 +1,5 @@
-// From the settings as an operator tells them, on the simulator's wire or in a configuration, to the
-// module's Settings: one mapping for the adapter and the real program.
+// Converts settings from text, as the simulator sends them or a configuration file holds them, to the
+// module's Settings. The simulator's adapter and the proxy share this mapping.
 #pragma once
 
 #include <map>
@@ -12,40 +12,48 @@
 
 namespace tinspan {
 
-// The settings as told, by path: nested names joined by dots, lists of plain values by commas, lists of
-// objects by their place and a `.count`.
-class Setup {
+/// Settings as text values by path. A path joins nested names with dots. A list of scalars is one value
+/// joined with commas. The objects of a list have their index in the path, and the path with `.count` holds
+/// their number. A value that is empty or "-" counts as absent. The accessors throw Malformed, which names
+/// the path, if a value has the wrong format.
+class SettingsMap {
  public:
-  // Adds one value; both texts must outlive the object.
+  /// Adds one value. Both views must remain valid as long as this object.
   void Add(std::string_view path, std::string_view value) { values_[path] = value; }
+  /// Returns the value, or an empty view if the path is missing.
   std::string_view Text(const std::string& path) const {
-    const auto found = values_.find(path);
-    return found == values_.end() ? std::string_view{} : found->second;
+    const auto entry = values_.find(path);
+    return entry == values_.end() ? std::string_view{} : entry->second;
   }
-  std::string_view Need(const std::string& path) const {
-    const auto found = values_.find(path);
-    if (found == values_.end()) throw Malformed{path, "to be told"};
-    return found->second;
+  /// Returns the value; throws Malformed if the path is missing.
+  std::string_view Require(const std::string& path) const {
+    const auto entry = values_.find(path);
+    if (entry == values_.end()) throw Malformed{path, "to be told"};
+    return entry->second;
   }
+  /// Returns 0 if the value is absent, as do Uint32 and Millis.
   double Number(const std::string& path) const {
     return IsAbsent(Text(path)) ? 0.0 : ParseNumber<double>(Text(path), path);
   }
-  std::uint32_t Whole(const std::string& path) const {
+  std::uint32_t Uint32(const std::string& path) const {
     return IsAbsent(Text(path)) ? 0 : ParseNumber<std::uint32_t>(Text(path), path);
   }
   Micros Millis(const std::string& path) const {
     return IsAbsent(Text(path)) ? Micros{0} : ParseMillis(Text(path), path);
   }
+  /// Returns false if the value is absent.
   bool Bool(const std::string& path) const {
     return !IsAbsent(Text(path)) && Choose<bool>(Text(path), path, {{"true", true}, {"false", false}});
   }
+  /// Returns an empty list if the value is absent.
   std::vector<std::string_view> List(const std::string& path) const {
     return IsAbsent(Text(path)) ? std::vector<std::string_view>{} : Split(Text(path), ',');
   }
+  /// Returns the value that `words` assigns to the text, or `fallback` if the value is absent.
   template <class Value>
-  Value Word(const std::string& path, Value absent,
+  Value Enum(const std::string& path, Value fallback,
              std::initializer_list<std::pair<std::string_view, Value>> words) const {
-    return IsAbsent(Text(path)) ? absent : Choose<Value>(Text(path), path, words);
+    return IsAbsent(Text(path)) ? fallback : Choose<Value>(Text(path), path, words);
   }
 
  private:
@@ -54,9 +62,11 @@
 
 using Names = std::vector<std::string>;
 
-// The place of a name in its list; throws Malformed naming the field.
+/// Returns the index of `name` in `names`; throws Malformed with `field` if it is not there.
 std::uint32_t PlaceOf(const Names& names, std::string_view name, std::string_view field);
 
+/// The module's settings and the names of the ids in them: a class, zone or kind id is an index into its
+/// list.
 struct Site {
   Settings settings;
   Names classes;
@@ -64,10 +74,11 @@
   Names kinds;
 };
 
-// Throws Malformed naming the path of what is missing or wrong.
-Site ReadSite(const Setup& setup);
+/// Throws Malformed, which names the path, if a value is missing or invalid.
+Site ReadSite(const SettingsMap& input);
 
-// A load report of `name:value` pairs set apart by `mark`; unknown names are passed over.
-LoadReport ReadLoad(std::string_view text, char mark);
+/// Parses a load report of `name:value` pairs separated by `separator`. Unknown names are ignored. Throws
+/// Malformed if a pair has no colon or its value is not a number.
+LoadReport ReadLoad(std::string_view text, char separator);
 
 }  // namespace tinspan
--- a/src/setup/text.hpp
+++ b/src/setup/text.hpp
@@ -1,4 +1,5 @@
-// Reading numbers, times, ids and words from text, with errors that name the field at fault.
+// Parses numbers, durations, ids and enumerators from text. Every function that takes a `field` throws
+// Malformed with it if the text does not have the expected format.
 #pragma once
 
 #include <charconv>
@@ -15,12 +16,13 @@
 
 namespace tinspan {
 
-// A text that its format does not allow: which field, and what was expected there.
+/// Thrown for text of the wrong format: the faulty field, and what was expected there.
 struct Malformed {
   std::string field;
   std::string expected;
 };
 
+/// The whole text must be one number; a floating-point number must be finite.
 template <class Number>
 Number ParseNumber(std::string_view text, std::string_view field) {
   Number value{};
@@ -34,12 +36,14 @@
   return value;
 }
 
+/// Parses milliseconds with optional decimals, rounded to microseconds.
 inline Micros ParseMillis(std::string_view text, std::string_view field) {
   const double millis = ParseNumber<double>(text, field);
   if (std::abs(millis) > 4e12) throw Malformed{std::string(field), "a time in milliseconds below 4e12"};
   return Micros{std::llround(millis * 1000.0)};
 }
 
+/// Parses 16 hex digits.
 inline ObjectId ParseObject(std::string_view text, std::string_view field) {
   std::uint64_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value, 16);
@@ -49,18 +53,21 @@
   return ObjectId{value};
 }
 
+/// A field without a value is empty or "-".
 inline bool IsAbsent(std::string_view text) { return text == "-" || text.empty(); }
 
-inline std::vector<std::string_view> Split(std::string_view text, char mark) {
+/// Always returns at least one part; parts may be empty.
+inline std::vector<std::string_view> Split(std::string_view text, char separator) {
   std::vector<std::string_view> parts;
   for (std::size_t start = 0;;) {
-    const std::size_t end = text.find(mark, start);
+    const std::size_t end = text.find(separator, start);
     parts.push_back(text.substr(start, end - start));
     if (end == std::string_view::npos) return parts;
     start = end + 1;
   }
 }
 
+/// Returns the value that `words` assigns to `text`.
 template <class Value>
 Value Choose(std::string_view text, std::string_view field,
              std::initializer_list<std::pair<std::string_view, Value>> words) {
@@ -72,10 +79,10 @@
   throw Malformed{std::string(field), expected};
 }
 
-// The number of a cache: a hash of its id, so that it is the same at every router.
+/// Derives a server's number from its name (64-bit FNV-1a), so that it is the same at every router.
 inline ServerId HashName(std::string_view name) {
   std::uint64_t hash = 14695981039346656037ull;
-  for (const char c : name) hash = (hash ^ static_cast<unsigned char>(c)) * 1099511628211ull;
+  for (const char character : name) hash = (hash ^ static_cast<unsigned char>(character)) * 1099511628211ull;
   return ServerId{hash};
 }
 
--- a/src/setup/time_text.hpp
+++ b/src/setup/time_text.hpp
@@ -1,4 +1,4 @@
-// Unix times as people write them: RFC 3339, in UTC.
+// Formats and parses Unix times as RFC 3339 text in UTC.
 #pragma once
 
 #include <optional>
@@ -9,10 +9,10 @@
 
 namespace tinspan {
 
-// Such as 2026-12-01T14:03:00.250000Z.
+/// Formats a time with microseconds, such as 2026-12-01T14:03:00.250000Z.
 std::string TimeText(Micros unix_time);
-// As above, with any number of decimals and Z, or `@SECONDS` since 1970 with decimals. Nothing if it is
-// neither.
+/// Parses the format above, with any number of decimals or none, or `@SECONDS` since 1970 with optional
+/// decimals. Returns nullopt for any other text.
 std::optional<Micros> ReadTime(std::string_view text);
 
 }  // namespace tinspan
--- a/src/setup/unix_time.hpp
+++ b/src/setup/unix_time.hpp
@@ -1,4 +1,4 @@
-// Unix time as a type of its own.
+// A type for Unix time, distinct from the monotonic time.
 #pragma once
 
 #include <compare>
@@ -7,20 +7,20 @@
 
 namespace tinspan {
 
-/// A moment that the wire, a record or a page names in Unix time, as this machine's wall clock or another
-/// party tells it. It does not convert to Micros, the program's monotonic clock, by which every deadline,
-/// window, wait and age is counted: the wall clock may be set while the program runs (net/clock.hpp).
+/// A point in time that a message, a record or a report gives in Unix time, from this machine's wall clock or
+/// from another machine. It does not convert to Micros, the type of the monotonic clock, which measures every
+/// deadline, window, wait and age, because the wall clock may be set while the program runs (net/clock.hpp).
 class UnixTime {
  public:
   constexpr UnixTime() = default;
   constexpr explicit UnixTime(Micros since_epoch) : since_epoch_(since_epoch) {}
 
-  /// Since 1970-01-01T00:00:00Z, without leap seconds.
+  /// The time since 1970-01-01T00:00:00Z, not counting leap seconds.
   constexpr Micros SinceEpoch() const { return since_epoch_; }
 
   constexpr auto operator<=>(const UnixTime&) const = default;
-  constexpr UnixTime operator+(Micros span) const { return UnixTime(since_epoch_ + span); }
-  constexpr UnixTime operator-(Micros span) const { return UnixTime(since_epoch_ - span); }
+  constexpr UnixTime operator+(Micros duration) const { return UnixTime(since_epoch_ + duration); }
+  constexpr UnixTime operator-(Micros duration) const { return UnixTime(since_epoch_ - duration); }
   constexpr Micros operator-(UnixTime earlier) const { return since_epoch_ - earlier.since_epoch_; }
 
  private:
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -1,6 +1,6 @@
-// The check of a platform configuration, as at the start and on every SIGHUP: a file that is empty, cut
-// short, missing a key, or with a deadline or number of attempts not above 0 is turned down whole, and the
-// error names the key (and its line where it stands in the file).
+// Tests the validation of a platform configuration, which happens at the start and on every SIGHUP. A file
+// that is empty, truncated, lacks a key, or has a deadline or number of attempts that is not above 0 is
+// rejected as a whole. The error names the key, and its line if the file has it.
 #include "config/config.hpp"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,8 @@
 
 namespace {
 
-const std::string kGood = R"({"seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
+const std::string kValidConfig =
+    R"({"seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
 "changelog":"127.0.0.1:9092","known":{"seq":0,"results":[]},
 "settings":{"areas":["core","edge"],"kinds":["box","up","store"],"zone":"edge","instances":1,"me":0,
 "tickMs":2.0,"lanes":[
@@ -28,11 +29,11 @@
 "rules":{"coldShare":0.2,"warmAfterMs":16000.0,"drainGraceMs":500.0,"graceToAnswerMs":8.0}}})";
 
 std::string Replaced(std::string text, const std::string& from, const std::string& to, int nth = 0) {
-  std::size_t at = text.find(from);
-  while (nth-- > 0) at = text.find(from, at + 1);
-  return text.replace(at, from.size(), to);
+  std::size_t position = text.find(from);
+  while (nth-- > 0) position = text.find(from, position + 1);
+  return text.replace(position, from.size(), to);
 }
-std::string Refusal(const std::string& text) {
+std::string RejectionReason(const std::string& text) {
   try {
     tinspan::config::ParsePlatform(text, "n0", "127.0.0.1:7001");
   } catch (const tinspan::config::Error& error) {
@@ -41,22 +42,23 @@
   return {};
 }
 
-TEST(ConfigCheck, TakesAGoodFile) {
-  const auto config = tinspan::config::ParsePlatform(kGood, "n0", "127.0.0.1:7001");
+TEST(ConfigCheck, AcceptsAValidFile) {
+  const auto config = tinspan::config::ParsePlatform(kValidConfig, "n0", "127.0.0.1:7001");
   EXPECT_EQ(config.site.classes.size(), 2u);
   EXPECT_EQ(config.longest.count(), 3'000'000);
   EXPECT_FALSE(config.ops);
-  const auto with_door = tinspan::config::ParsePlatform(
-      Replaced(kGood, R"("seed")", R"("ops":"127.0.0.1:9100","seed")"), "n0", "127.0.0.1:7001");
-  ASSERT_TRUE(with_door.ops);
-  EXPECT_EQ(with_door.ops->Text(), "127.0.0.1:9100");
+  const auto with_ops = tinspan::config::ParsePlatform(
+      Replaced(kValidConfig, R"("seed")", R"("ops":"127.0.0.1:9100","seed")"), "n0", "127.0.0.1:7001");
+  ASSERT_TRUE(with_ops.ops);
+  EXPECT_EQ(with_ops.ops->Text(), "127.0.0.1:9100");
 }
 
 TEST(ConfigCheck, ChecksTheFleetView) {
   const auto with = [](const std::string& members) {
-    return Replaced(kGood, R"("seed")", R"("members":{)" + members + R"(},"seed")");
+    return Replaced(kValidConfig, R"("seed")", R"("members":{)" + members + R"(},"seed")");
   };
-  EXPECT_FALSE(tinspan::config::ParsePlatform(kGood, "n0", "127.0.0.1:7001").members);  // off where not told
+  EXPECT_FALSE(
+      tinspan::config::ParsePlatform(kValidConfig, "n0", "127.0.0.1:7001").members);  // off without `members`
   const auto good = tinspan::config::ParsePlatform(
       with(R"("fleet":"shop","listen":"127.0.0.1:7946","seeds":["127.0.0.1:7947"],"probe_ms":200)"), "n0",
       "127.0.0.1:7001");
@@ -77,62 +79,64 @@
            {base + R"(,"suspicion_beta":0.5)", "members.suspicion_beta"},
            {base + R"(,"sync_ms":10)", "members.sync_ms"},
            {base + R"(,"dead_keep_ms":1000)", "members.dead_keep_ms"}}) {
-    EXPECT_NE(Refusal(with(members)).find(named), std::string::npos)
-        << members << ": " << Refusal(with(members));
+    EXPECT_NE(RejectionReason(with(members)).find(named), std::string::npos)
+        << members << ": " << RejectionReason(with(members));
   }
   EXPECT_THROW(tinspan::config::ParsePlatform(with(base), "a name of words", "127.0.0.1:7001"),
                tinspan::config::Error);
 }
 
-TEST(ConfigCheck, TurnsDownAnEmptyFile) {
-  EXPECT_NE(Refusal(""), "");
-  EXPECT_NE(Refusal(" \n"), "");
+TEST(ConfigCheck, RejectsAnEmptyFile) {
+  EXPECT_NE(RejectionReason(""), "");
+  EXPECT_NE(RejectionReason(" \n"), "");
 }
 
 TEST(ConfigCheck, NamesTheDeadlineAndItsLine) {
   for (const char* bad : {"0.0", "-5", "\"soon\"", "null"}) {
-    const std::string why =
-        Refusal(Replaced(kGood, "\"giveUpMs\":3000.0", std::string("\"giveUpMs\":") + bad));
-    EXPECT_NE(why.find("settings.lanes.1.giveUpMs"), std::string::npos) << bad << ": " << why;
+    const std::string reason =
+        RejectionReason(Replaced(kValidConfig, "\"giveUpMs\":3000.0", std::string("\"giveUpMs\":") + bad));
+    EXPECT_NE(reason.find("settings.lanes.1.giveUpMs"), std::string::npos) << bad << ": " << reason;
   }
-  EXPECT_NE(Refusal(Replaced(kGood, "\"giveUpMs\":3000.0", "\"giveUpMs\":0")).find("(line 7)"),
-            std::string::npos);
-  // Left out, it is no deadline either.
-  EXPECT_NE(Refusal(Replaced(kGood, "\"giveUpMs\":2500.0,", "")).find("settings.lanes.0.giveUpMs"),
+  EXPECT_NE(RejectionReason(Replaced(kValidConfig, "\"giveUpMs\":3000.0", "\"giveUpMs\":0")).find("(line 7)"),
             std::string::npos);
+  // A missing deadline is rejected too.
+  EXPECT_NE(
+      RejectionReason(Replaced(kValidConfig, "\"giveUpMs\":2500.0,", "")).find("settings.lanes.0.giveUpMs"),
+      std::string::npos);
 }
 
 TEST(ConfigCheck, NamesTheAttempts) {
   for (const char* bad : {"0", "-1", "2.5", "\"many\""}) {
-    const std::string why =
-        Refusal(Replaced(kGood, "\"maxAttempts\":8", std::string("\"maxAttempts\":") + bad));
-    EXPECT_NE(why.find("settings.limits.maxAttempts"), std::string::npos) << bad << ": " << why;
+    const std::string reason =
+        RejectionReason(Replaced(kValidConfig, "\"maxAttempts\":8", std::string("\"maxAttempts\":") + bad));
+    EXPECT_NE(reason.find("settings.limits.maxAttempts"), std::string::npos) << bad << ": " << reason;
   }
-  EXPECT_NE(Refusal(Replaced(kGood, "\"maxAttempts\":8,", "")).find("settings.limits.maxAttempts"),
-            std::string::npos);
+  EXPECT_NE(
+      RejectionReason(Replaced(kValidConfig, "\"maxAttempts\":8,", "")).find("settings.limits.maxAttempts"),
+      std::string::npos);
 }
 
 TEST(ConfigCheck, NamesAMissingKey) {
   for (const char* key : {"seed", "changelog", "known", "settings"}) {
-    const std::string text = Replaced(kGood, std::string("\"") + key + "\"", "\"x_unused\"");
-    EXPECT_NE(Refusal(text).find(key), std::string::npos) << key;
+    const std::string text = Replaced(kValidConfig, std::string("\"") + key + "\"", "\"x_unused\"");
+    EXPECT_NE(RejectionReason(text).find(key), std::string::npos) << key;
   }
 }
 
-// Whatever the cut, a file cut short is turned down with an error, never taken and never a crash.
-TEST(ConfigCheck, TurnsDownEveryFileCutShort) {
+// A file truncated at any byte is rejected with an error: it is never accepted and never causes a crash.
+TEST(ConfigCheck, RejectsEveryTruncatedFile) {
   EXPECT_TRUE(rc::check([](void) {
-    const auto cut = *rc::gen::inRange<std::size_t>(0, kGood.size() - 1);
-    RC_ASSERT(!Refusal(kGood.substr(0, cut)).empty());
+    const auto cut = *rc::gen::inRange<std::size_t>(0, kValidConfig.size() - 1);
+    RC_ASSERT(!RejectionReason(kValidConfig.substr(0, cut)).empty());
   }));
 }
 
-// Any byte changed anywhere: taken or turned down with a reason, never a crash.
-TEST(ConfigCheck, BearsAnyChangedByte) {
+// A file with one changed byte is either accepted or rejected with a reason: it never causes a crash.
+TEST(ConfigCheck, DoesNotCrashOnAnyChangedByte) {
   EXPECT_TRUE(rc::check([](void) {
-    std::string text = kGood;
-    const auto at = *rc::gen::inRange<std::size_t>(0, text.size());
-    text[at] = *rc::gen::arbitrary<char>();
+    std::string text = kValidConfig;
+    const auto position = *rc::gen::inRange<std::size_t>(0, text.size());
+    text[position] = *rc::gen::arbitrary<char>();
     try {
       tinspan::config::ParsePlatform(text, "n0", "127.0.0.1:7001");
     } catch (const tinspan::config::Error& error) {
@@ -145,35 +149,35 @@
 
 namespace {
 
-tinspan::Site Told(const std::string& text) {
+tinspan::Site ParseSite(const std::string& text) {
   return tinspan::config::ParsePlatform(text, "n0", "127.0.0.1:7001").site;
 }
 
-// Classes in force keep their places; added and changed ones come after; attempts are taken; a class no
-// longer told stays for the clients that still name it.
-TEST(Retune, KeepsPlacesAndAddsAfter) {
-  const tinspan::Site now = Told(kGood);
-  std::string text = Replaced(kGood, R"("name":"pages")", R"("name":"pages_new")");
+// Existing classes keep their indices; new and changed ones are appended; the number of attempts is applied.
+// A class that the new settings omit remains, for the clients that still use it.
+TEST(Retune, KeepsIndicesAndAppendsNewClasses) {
+  const tinspan::Site current = ParseSite(kValidConfig);
+  std::string text = Replaced(kValidConfig, R"("name":"pages")", R"("name":"pages_new")");
   text = Replaced(text, R"("effect":"by_key")", R"("effect":"once")");
   text = Replaced(text, "\"maxAttempts\":8", "\"maxAttempts\":2");
-  const tinspan::Retuned retuned = tinspan::Retune(now, Told(text));
+  const tinspan::Retuned retuned = tinspan::Retune(current, ParseSite(text));
   ASSERT_TRUE(retuned.changed);
   EXPECT_EQ(retuned.site.classes, (tinspan::Names{"pages", "orders", "pages_new", "orders"}));
   EXPECT_EQ(retuned.added, (std::vector<std::string>{"pages_new", "orders"}));
   EXPECT_EQ(retuned.dropped, (std::vector<std::string>{"pages"}));
   EXPECT_EQ(retuned.site.settings.classes[1].effect,
-            tinspan::Effect::kIdempotencyKey);  // open ones keep theirs
+            tinspan::Effect::kIdempotencyKey);  // open requests keep their rules
   EXPECT_EQ(retuned.site.settings.classes[3].effect, tinspan::Effect::kNonIdempotent);
   EXPECT_EQ(retuned.site.settings.max_attempts, 2u);
-  std::size_t place = 0;
-  ASSERT_TRUE(tinspan::FindClass(retuned.site.classes, "orders", place));
-  EXPECT_EQ(place, 3u);  // the newest rules for what comes now
-  ASSERT_TRUE(tinspan::FindClass(retuned.site.classes, "pages", place));
-  EXPECT_EQ(place, 0u);
-  EXPECT_FALSE(tinspan::FindClass(retuned.site.classes, "scans", place));
-  // The same file again changes nothing.
-  EXPECT_FALSE(tinspan::Retune(retuned.site, Told(text)).changed);
-  EXPECT_FALSE(tinspan::Retune(now, Told(kGood)).changed);
+  std::size_t index = 0;
+  ASSERT_TRUE(tinspan::FindClass(retuned.site.classes, "orders", index));
+  EXPECT_EQ(index, 3u);  // new requests get the new rules
+  ASSERT_TRUE(tinspan::FindClass(retuned.site.classes, "pages", index));
+  EXPECT_EQ(index, 0u);
+  EXPECT_FALSE(tinspan::FindClass(retuned.site.classes, "scans", index));
+  // Reloading the same file changes nothing.
+  EXPECT_FALSE(tinspan::Retune(retuned.site, ParseSite(text)).changed);
+  EXPECT_FALSE(tinspan::Retune(current, ParseSite(kValidConfig)).changed);
 }
 
 }  // namespace
--- a/tests/drill_test.cpp
+++ b/tests/drill_test.cpp
@@ -1,4 +1,4 @@
-// The adapter by transcripts, good and malformed.
+// Tests of the simulator's adapter on valid and malformed input.
 #include "drill/drill.hpp"
 
 #include <gtest/gtest.h>
@@ -8,16 +8,16 @@
 namespace tinspan::drill {
 namespace {
 
-struct Played {
+struct AdapterRun {
   int status;
   std::string out;
   std::string err;
 };
 
-Played PlayText(const std::string& text) {
+AdapterRun RunAdapterOn(const std::string& text) {
   std::istringstream in(text);
   std::ostringstream out, err;
-  const int status = Play(in, out, err);
+  const int status = RunAdapter(in, out, err);
   return {status, out.str(), err.str()};
 }
 
@@ -37,65 +37,66 @@
     "clock\t101.5\nat\t3\nreq\t4503599627370495\t2500.25\t0\tpage\t11\t640\t-\t-\t91f03b7c55d20a64\n"
     "commit\n";
 
-TEST(Drill, PlaysARequestToItsAnswer) {
-  const Played played = PlayText("clock\t99.0\ncommit\n" + kStart + kRequest +
-                                 "clock\t160.0\nat\t3\nresult\t4503599627370495\t0\t10.0.0.1:80\tpass\t"
-                                 "58.5\t1\t2\t9.4\tinflight:3,x0:0.7\ncommit\n");
-  EXPECT_EQ(played.status, 0) << played.err;
-  EXPECT_TRUE(played.err.empty());
-  EXPECT_EQ(played.out.substr(0, 10), "done\ndone\n");
-  EXPECT_NE(played.out.find("for\t3\n"), std::string::npos);
-  EXPECT_NE(
-      played.out.find("read_through\t4503599627370495\t10.0.0.1:80\t0.000\t2599.750\t1\t10.0.0.2:80\t0\n"),
-      std::string::npos)
-      << played.out;
-  EXPECT_EQ(played.out.substr(played.out.size() - 10), "done\ndone\n");
+TEST(Drill, ForwardsARequestAndTakesItsResult) {
+  const AdapterRun run = RunAdapterOn("clock\t99.0\ncommit\n" + kStart + kRequest +
+                                      "clock\t160.0\nat\t3\nresult\t4503599627370495\t0\t10.0.0.1:80\tpass\t"
+                                      "58.5\t1\t2\t9.4\tinflight:3,x0:0.7\ncommit\n");
+  EXPECT_EQ(run.status, 0) << run.err;
+  EXPECT_TRUE(run.err.empty());
+  EXPECT_EQ(run.out.substr(0, 10), "done\ndone\n");
+  EXPECT_NE(run.out.find("for\t3\n"), std::string::npos);
+  EXPECT_NE(run.out.find("read_through\t4503599627370495\t10.0.0.1:80\t0.000\t2599.750\t1\t10.0.0.2:80\t0\n"),
+            std::string::npos)
+      << run.out;
+  EXPECT_EQ(run.out.substr(run.out.size() - 10), "done\ndone\n");
 }
 
-TEST(Drill, PassesOverProbesMessagesAndHaltedInstances) {
-  const Played played = PlayText(kStart + "clock\t102\nat\t3\nmail\t1\taGkgNw==\nping_result\t10.0.0.1:80\t" +
-                                 "pass\t1\t-\nhalt\ncommit\n");
-  EXPECT_EQ(played.status, 0) << played.err;
+TEST(Drill, IgnoresProbesAndMessagesAndHaltsAnInstance) {
+  const AdapterRun run =
+      RunAdapterOn(kStart + "clock\t102\nat\t3\nmail\t1\taGkgNw==\nping_result\t10.0.0.1:80\t" +
+                   "pass\t1\t-\nhalt\ncommit\n");
+  EXPECT_EQ(run.status, 0) << run.err;
 }
 
-TEST(Drill, AModuleThatThrowsEndsTheDayByDie) {
+TEST(Drill, WritesDieWhereTheModuleThrows) {
   std::string start = kStart;
   start.replace(start.find("limits.maxAttempts=4"), 20, "limits.maxAttempts=0");
   start.erase(start.find("define_list"));
-  const Played played = PlayText(start + "commit\n");
-  EXPECT_EQ(played.status, 0);
-  EXPECT_NE(played.out.find("for\t3\ndie\t"), std::string::npos);
+  const AdapterRun run = RunAdapterOn(start + "commit\n");
+  EXPECT_EQ(run.status, 0);
+  EXPECT_NE(run.out.find("for\t3\ndie\t"), std::string::npos);
 }
 
-TEST(Drill, NamesWhatIsMalformed) {
-  const auto bad = [](const std::string& batch, const std::string& said) {
-    const Played played = PlayText(kStart + batch);
-    EXPECT_EQ(played.status, 2) << batch;
-    EXPECT_NE(played.err.find(said), std::string::npos) << played.err << "wanted: " << said;
+TEST(Drill, RejectsMalformedInputAndNamesTheField) {
+  const auto expect_rejected = [](const std::string& batch, const std::string& expected_text) {
+    const AdapterRun run = RunAdapterOn(kStart + batch);
+    EXPECT_EQ(run.status, 2) << batch;
+    EXPECT_NE(run.err.find(expected_text), std::string::npos) << run.err << "wanted: " << expected_text;
   };
   const std::string head = "clock\t101\nat\t3\n";
-  bad("tick\t101\n", "line 10: message: expected clock");
-  bad("clock\tsoon\n", "line 10: clock: expected a number");
-  bad("clock\t101x\n", "clock: expected a number");
-  bad("clock\tinf\n", "clock: expected a finite number");
-  bad("clock\t101\nring\t1\ncommit\n", "an instance named by 'at'");
-  bad("clock\t101\nat\t4\nring\t1\ncommit\n", "an instance that has been started");
-  bad(head + "rung\t1\ncommit\n", "a known event, not 'rung'");
-  bad(head + "ring\t-1\ncommit\n", "ref: expected a whole number");
-  bad(head + "ring\n", "ref: expected a value, but the line ends");
-  bad(head + "ring\t1\t2\n", "end of line: expected no further value");
-  bad(head + "roster_change\tpatch\t7\t1\n", "setId: expected a list that was defined");
-  bad(head + "roster_change\tpatch\t16\t1\n", "setId: expected a list");
-  bad(head + "define_list\t0\t1\nring\t1\n", "message: expected row");
-  bad(head + "define_list\t0\t1\nrow\t10.0.0.1:80\t1\tup\t0\tbox\t-\tedge\n",
-      "availability: expected one of on");
-  bad(head + "req\t1\t100\t0\tvideo\t1\t1\t0\t-\t91f03b7c55d20a64\n", "tierClass: expected a name");
-  bad(head + "req\t1\t100\t0\tpage\t1\t1\t0\t-\t91f03b7c\n", "resource: expected 16 hex digits");
-  bad(head + "result\t1\t0\t10.0.0.1:80\tgood\t1\t1\t0\t-\t-\n", "disposition: expected one of");
-  bad(head + "result\t1\t0\t10.0.0.1:80\tpass\t1\t2\t0\t-\t-\n", "closed: expected 1 or 0");
-  bad(head + "result\t1\t0\t10.0.0.1:80\tpass\t1\t1\t11\t-\t-\n", "detail: expected a note");
-  bad(head + "result\t1\t0\t10.0.0.1:80\tpass\t1\t1\t1\t-\tx0\n", "stats: expected name:value");
-  bad(head + "ring\t1\n", "the input ends");
+  expect_rejected("tick\t101\n", "line 10: message: expected clock");
+  expect_rejected("clock\tsoon\n", "line 10: clock: expected a number");
+  expect_rejected("clock\t101x\n", "clock: expected a number");
+  expect_rejected("clock\tinf\n", "clock: expected a finite number");
+  expect_rejected("clock\t101\nring\t1\ncommit\n", "an instance named by 'at'");
+  expect_rejected("clock\t101\nat\t4\nring\t1\ncommit\n", "an instance that has been started");
+  expect_rejected(head + "rung\t1\ncommit\n", "a known event, not 'rung'");
+  expect_rejected(head + "ring\t-1\ncommit\n", "ref: expected a whole number");
+  expect_rejected(head + "ring\n", "ref: expected a value, but the line ends");
+  expect_rejected(head + "ring\t1\t2\n", "end of line: expected no further value");
+  expect_rejected(head + "roster_change\tpatch\t7\t1\n", "setId: expected a list that was defined");
+  expect_rejected(head + "roster_change\tpatch\t16\t1\n", "setId: expected a list");
+  expect_rejected(head + "define_list\t0\t1\nring\t1\n", "message: expected row");
+  expect_rejected(head + "define_list\t0\t1\nrow\t10.0.0.1:80\t1\tup\t0\tbox\t-\tedge\n",
+                  "availability: expected one of on");
+  expect_rejected(head + "req\t1\t100\t0\tvideo\t1\t1\t0\t-\t91f03b7c55d20a64\n",
+                  "tierClass: expected a name");
+  expect_rejected(head + "req\t1\t100\t0\tpage\t1\t1\t0\t-\t91f03b7c\n", "resource: expected 16 hex digits");
+  expect_rejected(head + "result\t1\t0\t10.0.0.1:80\tgood\t1\t1\t0\t-\t-\n", "disposition: expected one of");
+  expect_rejected(head + "result\t1\t0\t10.0.0.1:80\tpass\t1\t2\t0\t-\t-\n", "closed: expected 1 or 0");
+  expect_rejected(head + "result\t1\t0\t10.0.0.1:80\tpass\t1\t1\t11\t-\t-\n", "detail: expected a note");
+  expect_rejected(head + "result\t1\t0\t10.0.0.1:80\tpass\t1\t1\t1\t-\tx0\n", "stats: expected name:value");
+  expect_rejected(head + "ring\t1\n", "the input ends");
 }
 
 }  // namespace
