--- a/src/front/http/consul_query.cpp
+++ b/src/front/http/consul_query.cpp
@@ -9,79 +9,81 @@
 namespace {
 
 constexpr net::Connection::Limits kLimits{.max_read_bytes = 16 << 20, .max_write_bytes = 64 << 10};
-constexpr Micros kFirstBackOff{200'000};
-constexpr Micros kMostBackOff{2'000'000};
+constexpr Micros kInitialBackoff{200'000};
+constexpr Micros kMaxBackoff{2'000'000};
 
 }  // namespace
 
 ConsulQuery::ConsulQuery(net::EventLoop& loop, const config::Http& config, std::string name,
-                         Answered answered)
-    : loop_(loop), config_(config), name_(std::move(name)), answered_(std::move(answered)) {}
+                         ResponseCallback on_response)
+    : loop_(loop), config_(config), name_(std::move(name)), on_response_(std::move(on_response)) {}
 
 ConsulQuery::~ConsulQuery() { loop_.Timers().Cancel(timer_); }
 
-void ConsulQuery::Ask(std::string path, Micros limit) {
+void ConsulQuery::Start(std::string path, Micros timeout) {
   path_ = std::move(path);
-  limit_ = limit;
-  Try();
+  timeout_ = timeout;
+  SendQuery();
 }
 
-void ConsulQuery::Try() {
+void ConsulQuery::SendQuery() {
   loop_.Timers().Cancel(timer_);
-  timer_ = loop_.Timers().Set(net::Now() + limit_, [this](Micros) { Failed("no answer"); });
+  timer_ = loop_.Timers().Set(net::Now() + timeout_, [this](Micros) { Fail("no answer"); });
   if (connection_ && connection_->IsOpen()) return OnOpen(*connection_);
   connection_ = std::make_unique<net::Connection>(loop_, config_.consul, *this, kLimits);
 }
 
 void ConsulQuery::OnOpen(net::Connection& connection) {
-  std::string out = "GET " + path_ + " HTTP/1.1\r\nHost: " + config_.consul.Text() + "\r\n";
-  if (!config_.consul_token.empty()) out += "X-Consul-Token: " + config_.consul_token + "\r\n";
-  connection.Write(out + "\r\n");
+  std::string request = "GET " + path_ + " HTTP/1.1\r\nHost: " + config_.consul.Text() + "\r\n";
+  if (!config_.consul_token.empty()) request += "X-Consul-Token: " + config_.consul_token + "\r\n";
+  connection.Write(request + "\r\n");
 }
 
 void ConsulQuery::OnData(net::Connection& connection) {
-  if (IsIdle()) return LetGo();  // it speaks unasked
+  if (IsIdle()) return CloseConnection();  // unsolicited bytes
   Response response;
-  std::size_t expect = 0;
-  const Taken taken = TakeResponse(connection.Unread(), response, expect);
-  if (expect > 0) connection.ExpectMessage(expect);
-  if (taken == Taken::kMore) return;
-  if (taken == Taken::kUnreadable) return Failed("an answer that cannot be read");
+  std::size_t expected_bytes = 0;
+  const Taken result = TakeResponse(connection.Unread(), response, expected_bytes);
+  if (expected_bytes > 0) connection.ExpectMessage(expected_bytes);
+  if (result == Taken::kMore) return;
+  if (result == Taken::kUnreadable) return Fail("the response cannot be read");
   loop_.Timers().Cancel(timer_);
   const std::string path = std::exchange(path_, {});
   try {
     if (response.status != 200) throw Malformed{"status", "200, not " + std::to_string(response.status)};
-    // Whoever asks on from within must find the connection free.
+    // Done first, because the callback may start the next query on this connection.
     connection.Consume(response.length);
-    if (!response.keep) LetGo();
-    answered_(response.index, response.body);
-    failures_ = 0;
-  } catch (const Malformed& wrong) {
+    if (!response.keep) CloseConnection();
+    on_response_(response.index, response.body);
+    consecutive_failures_ = 0;
+  } catch (const Malformed& error) {
     if (path_.empty()) path_ = path;
-    Failed(wrong.field + ": expected " + wrong.expected);
+    Fail(error.field + ": expected " + error.expected);
   }
 }
 
 void ConsulQuery::OnClosed(net::Connection&) {
-  if (IsIdle()) return LetGo();
-  Failed("connection lost");
+  if (IsIdle()) return CloseConnection();
+  Fail("connection lost");
 }
 
-void ConsulQuery::LetGo() {
+void ConsulQuery::CloseConnection() {
   if (!connection_) return;
   connection_->Close();
-  old_ = std::move(connection_);
+  closed_connection_ = std::move(connection_);
 }
 
-void ConsulQuery::Failed(const std::string& why) {
+void ConsulQuery::Fail(const std::string& reason) {
   loop_.Timers().Cancel(timer_);
-  LetGo();
-  const Micros wait = std::min(kMostBackOff, kFirstBackOff * (std::int64_t{1} << std::min(failures_, 10u)));
-  ++failures_;
-  const std::int64_t millis = wait.count() / 1000;
-  log::Warn("consul.query_failed", {{"query", name_}, {"reason", why}, {"again_ms", millis}},
-            "Consul, {}: {}; the list is kept, next query in {} ms", name_, why, millis);
-  timer_ = loop_.Timers().Set(net::Now() + wait, [this](Micros) { Try(); });
+  CloseConnection();
+  const Micros backoff =
+      std::min(kMaxBackoff, kInitialBackoff * (std::int64_t{1} << std::min(consecutive_failures_, 10u)));
+  ++consecutive_failures_;
+  const std::int64_t backoff_ms = backoff.count() / 1000;
+  log::Warn("consul.query_failed", {{"query", name_}, {"reason", reason}, {"again_ms", backoff_ms}},
+            "Consul query ({}) failed: {}; the current nodes stay in use, next query in {} ms", name_, reason,
+            backoff_ms);
+  timer_ = loop_.Timers().Set(net::Now() + backoff, [this](Micros) { SendQuery(); });
 }
 
 }  // namespace tinspan::http
--- a/src/front/http/consul_query.hpp
+++ b/src/front/http/consul_query.hpp
@@ -1,5 +1,5 @@
-// One question to Consul's HTTP API at a time, over a connection that is kept, asked again until it is
-// answered. It knows nothing of what is asked.
+// A client of Consul's HTTP API: one query at a time on a persistent connection, retried until it succeeds.
+// Independent of the content of queries and responses.
 #pragma once
 
 #include <functional>
@@ -12,41 +12,46 @@
 
 namespace tinspan::http {
 
+/// Not thread-safe; the loop and the configuration must outlive it.
 class ConsulQuery final : public net::Connection::Owner {
  public:
-  // Told each answer of status 200, once, with its X-Consul-Index (0: none); it may call Ask. One that it
-  // cannot use throws Malformed, and is asked for again like one that never came.
-  using Answered = std::function<void(std::uint64_t index, const std::string& body)>;
-  ConsulQuery(net::EventLoop& loop, const config::Http& config, std::string name, Answered answered);
+  /// Receives each response of status 200 once, with its X-Consul-Index (0: none). It may call Start. If it
+  /// throws Malformed, the query is retried as after a failure.
+  using ResponseCallback = std::function<void(std::uint64_t index, const std::string& body)>;
+  ConsulQuery(net::EventLoop& loop, const config::Http& config, std::string name,
+              ResponseCallback on_response);
   ~ConsulQuery();
   ConsulQuery(const ConsulQuery&) = delete;
   ConsulQuery& operator=(const ConsulQuery&) = delete;
 
-  // Only while IsIdle. An answer is given up after `limit`; a failure is logged under the query's name, and
-  // the next try comes 0.2 s later, then ever later up to 2 s: what changes meanwhile is heard no later.
-  void Ask(std::string path, Micros limit);
+  /// Starts a query of `path`; only while IsIdle. An attempt fails if there is no response within `timeout`.
+  /// A failure is logged with the query's name. The first retry follows after 0.2 s; the backoff doubles up
+  /// to 2 s, which bounds the delay with which a change is received.
+  void Start(std::string path, Micros timeout);
+  /// Whether no query is in progress.
   bool IsIdle() const { return path_.empty(); }
-  void EndRound() { old_.reset(); }
+  /// Frees the closed connection. Must be called once per round.
+  void EndRound() { closed_connection_.reset(); }
 
   void OnOpen(net::Connection& connection) override;
   void OnData(net::Connection& connection) override;
   void OnClosed(net::Connection& connection) override;
 
  private:
-  void Try();
-  void Failed(const std::string& why);
-  void LetGo();
+  void SendQuery();
+  void Fail(const std::string& reason);
+  void CloseConnection();
 
   net::EventLoop& loop_;
   const config::Http& config_;
   const std::string name_;
-  Answered answered_;
+  ResponseCallback on_response_;
   std::unique_ptr<net::Connection> connection_;
-  std::unique_ptr<net::Connection> old_;  // closed in this round
+  std::unique_ptr<net::Connection> closed_connection_;  // freed at the end of the round
   net::TimerQueue::Id timer_{};
-  std::string path_;  // empty: nothing is asked
-  Micros limit_{0};
-  unsigned failures_ = 0;
+  std::string path_;  // empty: no query is in progress
+  Micros timeout_{0};
+  unsigned consecutive_failures_ = 0;
 };
 
 }  // namespace tinspan::http
--- a/src/front/http/http1.hpp
+++ b/src/front/http/http1.hpp
@@ -1,5 +1,5 @@
-// HTTP/1.1 messages (RFC 9112), read strictly as slices of the buffer: where two readers could disagree on
-// where a message ends, it is refused.
+// A strict parser of HTTP/1.1 messages (RFC 9112). It rejects every message whose end two parsers could
+// determine differently, which prevents request smuggling. Parsed parts are views of the input buffer.
 #pragma once
 
 #include <cstdint>
@@ -11,70 +11,92 @@
 
 namespace tinspan::http {
 
-constexpr std::size_t kMostRequestLine = 8 << 10;
-constexpr std::size_t kMostHead = 24 << 10;
+constexpr std::size_t kMaxRequestLineBytes = 8 << 10;
+constexpr std::size_t kMaxHeadBytes = 24 << 10;
 
+/// The start line and header fields of a request or a response. A request sets `method` and `target`, a
+/// response `status`. The views point into the parsed buffer.
 struct Head {
-  // A request's or a response's; which are set says which it is.
   std::string_view method, target;
   int status = 0;
   std::vector<std::pair<std::string_view, std::string_view>> fields;
-  std::size_t length = 0;  // of the whole head in the buffer
+  std::size_t length = 0;  // bytes of the head, including the empty line at its end
 
-  std::string_view Field(std::string_view name) const;  // the first so named, or empty
-  std::size_t Count(std::string_view name) const;
+  /// Returns the value of the first field of that name; empty if there is none.
+  std::string_view Field(std::string_view name) const;
+  /// Returns the number of field lines of that name.
+  std::size_t FieldCount(std::string_view name) const;
 };
 
-// 0: read. -1: more bytes are needed. Else the status that refuses it.
+/// Parses the head of a request. Returns 0 on success, -1 if more bytes are needed, else the status of the
+/// response that rejects the request.
 int ReadRequest(std::string_view buffer, Head& out);
-// As above; any positive number says that it cannot be read.
+/// Parses the head of a response. Returns 0 on success, -1 if more bytes are needed, and a positive number if
+/// it is malformed.
 int ReadResponse(std::string_view buffer, Head& out);
 
-bool SameName(std::string_view a, std::string_view b);         // case aside
-bool HasToken(std::string_view list, std::string_view token);  // in a comma list, case aside
+/// Compares without regard to the case of ASCII letters.
+bool EqualsIgnoreCase(std::string_view left, std::string_view right);
+/// Whether a comma-separated list contains the token, without regard to case.
+bool HasToken(std::string_view list, std::string_view token);
 
-// Where a message's body ends.
+/// Finds the end of a message body.
 class BodyReader {
  public:
+  /// How the length of the body is determined: no body, Content-Length, or the chunked transfer coding.
   enum class Framing { kNone, kLength, kChunked };
+  /// Begins a body; `length` is used with kLength only.
   void Start(Framing framing, std::uint64_t length) {
     framing_ = framing;
-    left_ = length;
-    state_ = State::kSize;
-    line_ = 0;
-    whole_ = framing == Framing::kNone || (framing == Framing::kLength && length == 0);
+    remaining_ = length;
+    state_ = State::kChunkSize;
+    line_length_ = 0;
+    is_complete_ = framing == Framing::kNone || (framing == Framing::kLength && length == 0);
   }
-  bool IsWhole() const { return whole_; }
-  // How many of these bytes belong to the body (framing included); nothing if they cannot be read.
-  std::optional<std::size_t> Take(std::string_view bytes);
+  bool IsComplete() const { return is_complete_; }
+  /// Returns how many of the next bytes of the message belong to the body, chunk framing included; nothing if
+  /// they are malformed.
+  std::optional<std::size_t> Advance(std::string_view bytes);
 
  private:
-  enum class State { kSize, kExtension, kSizeEnd, kData, kDataEnd, kDataLf, kTrailer, kTrailerLf };
+  enum class State {
+    kChunkSize,
+    kChunkExtension,
+    kChunkSizeLf,
+    kChunkData,
+    kChunkDataCr,
+    kChunkDataLf,
+    kTrailer,
+    kTrailerLf
+  };
   Framing framing_ = Framing::kNone;
-  State state_ = State::kSize;
-  std::uint64_t left_ = 0;
-  std::size_t line_ = 0;  // characters of the size, extension or trailer line so far
-  bool whole_ = true;
+  State state_ = State::kChunkSize;
+  std::uint64_t remaining_ = 0;
+  std::size_t line_length_ = 0;  // octets of the current chunk-size or trailer line
+  bool is_complete_ = true;
 };
 
-// The framing of a request's body (`status` refuses it if not 0) or of a response's (nothing: it has none
-// that shows its end, or two that disagree).
+/// Returns the framing of a request body. Sets `status` to the status that rejects the request, or 0.
 BodyReader::Framing RequestFraming(const Head& head, std::uint64_t& length, int& status);
-std::optional<BodyReader::Framing> ResponseFraming(const Head& head, bool to_head, std::uint64_t& length);
+/// Returns the framing of a response body; nothing if it is delimited only by the end of the connection, or
+/// by both Content-Length and Transfer-Encoding.
+std::optional<BodyReader::Framing> ResponseFraming(const Head& head, bool is_head_request,
+                                                   std::uint64_t& length);
 
-// The data of a whole chunked body.
-std::string Dechunked(std::string_view body);
+/// Returns the data of a complete body in chunked transfer coding.
+std::string DecodeChunked(std::string_view body);
 
-// A response with its whole body, as one that asks and waits takes it.
+/// A response with its complete body.
 struct Response {
   int status = 0;
   std::uint64_t index = 0;  // X-Consul-Index; 0: none
   std::string body;         // without its framing
-  bool keep = false;        // the connection may be used again
-  std::size_t length = 0;   // of it all in the buffer
+  bool keep = false;        // the connection is persistent and may be reused
+  std::size_t length = 0;   // bytes of head and body in the buffer
 };
-enum class Taken { kMore, kWhole, kUnreadable };
-// `expect`: bytes that the buffer has to hold for the whole of it, where that is known already; else 0.
+enum class Taken { kMore, kComplete, kUnreadable };
+/// Parses a complete response. If more bytes are needed, `expect` is set to the total length of the response
+/// if it is known, else to 0.
 Taken TakeResponse(std::string_view buffer, Response& out, std::size_t& expect);
 
 }  // namespace tinspan::http
--- a/src/front/http/http_front.hpp
+++ b/src/front/http/http_front.hpp
@@ -1,4 +1,5 @@
-// The gateway's front: HTTP clients, signing servers and Consul round the core. It decides nothing.
+// The gateway's front: connects HTTP clients, signing servers and Consul to the core, which makes all
+// decisions.
 #pragma once
 
 #include <memory>
@@ -13,9 +14,11 @@
 
 namespace tinspan::http {
 
+/// Translates between HTTP and the core's events and commands. Not thread-safe; all arguments of the
+/// constructor must outlive it.
 class HttpFront final : public front::Front {
  public:
-  // Throws config::Error on keys that make no sense.
+  /// Throws config::Error if the keys are invalid, and std::system_error if listening fails.
   HttpFront(net::EventLoop& loop, const config::Http& config, core::RequestCoordinator& coordinator,
             std::vector<core::Event>& events);
 
@@ -25,40 +28,45 @@
   void Drain(const core::DrainTimetable& timetable) override {
     if (attached_.on_drain) attached_.on_drain();
     service_.Stopping();
-    clients_.Drain(timetable);
+    downstream_.Drain(timetable);
   }
-  bool Reload() override;  // the keys: how they are rotated
-  bool IsDrained() const override { return clients_.IsDrained(); }
-  void SetFeed(const core::RecordFeed* feed) { clients_.SetFeed(feed); }
-  std::uint16_t Port() const { return clients_.Port(); }
+  /// Reads the key set again, which allows key rotation.
+  bool Reload() override;
+  bool IsDrained() const override { return downstream_.IsDrained(); }
+  /// Source of /-/records; null: the endpoint does not exist.
+  void SetFeed(const core::RecordFeed* feed) { downstream_.SetFeed(feed); }
+  std::uint16_t Port() const { return downstream_.Port(); }
+  /// Port of the admin listener, if there is one.
   std::optional<std::uint16_t> OpsPort() const {
-    return door_ ? std::optional<std::uint16_t>(door_->Port()) : std::nullopt;
+    return ops_listener_ ? std::optional<std::uint16_t>(ops_listener_->Port()) : std::nullopt;
   }
+  /// Connects the services that are attached to this front.
   void SetAttachedServices(front::AttachedServices attached) {
     views_ = attached.views;
-    upstream_.Failing().ReportTo(attached.on_failing_servers);
-    clients_.SetPurged(attached.on_purge);
+    upstream_.FailureLog().ReportTo(attached.on_failing_servers);
+    downstream_.SetOnPurge(attached.on_purge);
     attached_ = std::move(attached);
   }
 
  private:
-  void Answer(const core::CompleteRequest& answer);
+  void Complete(const core::CompleteRequest& completion);
 
   const config::Http& config_;
-  Access access_;
+  AccessVerifier verifier_;
   Signer signer_;
-  Clients clients_;
-  Upstream upstream_;
+  DownstreamConnections downstream_;
+  UpstreamConnections upstream_;
   std::vector<std::unique_ptr<ConsulWatch>> watches_;
-  std::size_t unlisted_;         // services that Consul has not listed yet
-  ops::Service service_{false};  // serving once Consul has listed every service; no standby here
+  std::size_t unlisted_services_;  // number of services without a list from Consul yet
+  ops::Service service_{false};    // serving once Consul has listed every service; without standby
   ops::Views views_;
   front::AttachedServices attached_;
-  std::optional<front::OpsDoor> door_;
+  std::optional<front::OpsDoor> ops_listener_;
 };
 
-// Throws config::Error.
+/// Parses a JWK set. Throws config::Error if it is invalid.
 KeySet ReadKeys(const config::Http& config, std::string_view json);
+/// Parses the configured signing key. Throws config::Error if it is invalid or has no private part.
 Key ReadSigningKey(const config::Http& config);
 
 }  // namespace tinspan::http
--- a/src/front/http/upstream.cpp
+++ b/src/front/http/upstream.cpp
@@ -9,295 +9,313 @@
 namespace tinspan::http {
 namespace {
 
-constexpr std::size_t kSlowClient = 256
-                                    << 10;  // bytes waiting for a client from which its server is held back
+// Reading from a server pauses while more bytes than this wait for its client, and resumes at half of it.
+constexpr std::size_t kReadPauseBacklogBytes = 256 << 10;
 
-net::ConnectionPoolOptions Rules(const config::Http& config) {
-  net::ConnectionPoolOptions rules;
-  rules.connect_timeout = config.connect_timeout;
-  rules.idle_timeout = config.idle_close * 3 / 4;
-  rules.max_streams = 1;
-  rules.limits = {.max_read_bytes = 64 << 10, .max_write_bytes = 2 << 20};
-  return rules;
+net::ConnectionPoolOptions PoolOptions(const config::Http& config) {
+  net::ConnectionPoolOptions options;
+  options.connect_timeout = config.connect_timeout;
+  options.idle_timeout = config.idle_close * 3 / 4;
+  options.max_streams = 1;
+  options.limits = {.max_read_bytes = 64 << 10, .max_write_bytes = 2 << 20};
+  return options;
 }
 
-// What a status proves. Nothing for an answer that is the client's.
-std::optional<Outcome> Refusal(int status, bool write, bool only_if_cached) {
+// Returns the outcome that a failure status means for the attempt; nothing for a response that is forwarded
+// to the client.
+std::optional<Outcome> FailureOutcome(int status, bool is_write, bool only_if_cached) {
   if (only_if_cached && status == 504) return Outcome::kMiss;  // RFC 9111, 5.2.1.7
-  // A read that was turned away did no harm in any case; of a write, 503 does not prove that it never ran.
-  if (status == 429 || (status == 503 && !write)) return Outcome::kRejected;
+  // A rejected read has no effect in any case. For a write, 503 does not prove that it was not executed.
+  if (status == 429 || (status == 503 && !is_write)) return Outcome::kRejected;
   if (status == 401 || status == 403 || status == 407 || status == 408 || status >= 500)
     return Outcome::kError;
   return std::nullopt;
 }
 
-// Cache-Status (RFC 9211), the last member: the cache nearest to us.
-FillNote Note(std::string_view status) {
+// Evaluates the last member of Cache-Status (RFC 9211), which is from the cache nearest to the gateway.
+FillNote FillNoteOf(std::string_view status) {
   const std::size_t comma = status.rfind(',');
   const std::string_view last = comma == std::string_view::npos ? status : status.substr(comma + 1);
-  const auto has = [last](std::string_view word) { return last.find(word) != std::string_view::npos; };
-  if (has("; hit") || has(";hit")) return FillNote::kHit;
-  if (has("collapsed")) return FillNote::kJoined;
-  if (has("fwd=")) return FillNote::kFilled;
+  const auto contains = [last](std::string_view parameter) {
+    return last.find(parameter) != std::string_view::npos;
+  };
+  if (contains("; hit") || contains(";hit")) return FillNote::kHit;
+  if (contains("collapsed")) return FillNote::kJoined;
+  if (contains("fwd=")) return FillNote::kFilled;
   return FillNote::kNone;
 }
 
-bool StaysHere(std::string_view name, std::string_view connection) {
-  for (const std::string_view own : {"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
-                                     "Upgrade", "WWW-Authenticate"}) {
-    if (SameName(own, name)) return true;
+// Whether a response field is not forwarded: hop-by-hop fields and challenges that concern the gateway.
+bool IsStrippedFromResponse(std::string_view name, std::string_view connection) {
+  for (const std::string_view stripped : {"Connection", "Keep-Alive", "Proxy-Connection",
+                                          "Proxy-Authenticate", "Upgrade", "WWW-Authenticate"}) {
+    if (EqualsIgnoreCase(stripped, name)) return true;
   }
   return HasToken(connection, name);
 }
 
 }  // namespace
 
-Upstream::Upstream(net::EventLoop& loop, const config::Http& config, core::RequestCoordinator& coordinator,
-                   Clients& clients, const Signer& signer, std::vector<core::Event>& events)
+UpstreamConnections::UpstreamConnections(net::EventLoop& loop, const config::Http& config,
+                                         core::RequestCoordinator& coordinator,
+                                         DownstreamConnections& downstream, const Signer& signer,
+                                         std::vector<core::Event>& events)
     : config_(config),
       coordinator_(coordinator),
-      clients_(clients),
+      downstream_(downstream),
       signer_(signer),
       events_(events),
-      pool_(loop, Rules(config), *this) {}
+      pool_(loop, PoolOptions(config), *this) {}
 
-void Upstream::Execute(Micros now, const core::StartAttempt& command) {
+void UpstreamConnections::Execute(Micros now, const core::StartAttempt& command) {
   const auto address = addresses_.find(command.action.server);
-  if (clients_.Find(command.action.id) == nullptr || address == addresses_.end()) {
+  if (downstream_.Find(command.action.id) == nullptr || address == addresses_.end()) {
     events_.push_back(core::AttemptCompleted{
         .id = command.action.id, .attempt = command.attempt, .outcome = Outcome::kNotSent});
     return;
   }
   PooledConnection& pooled =
       pool_.Acquire(static_cast<std::uint64_t>(command.action.server), address->second.endpoint, now,
-                    [](const PooledConnection& one) { return one.connection.IsOpen() && !one.state.busy; });
+                    [](const PooledConnection& candidate) {
+                      return candidate.connection.IsOpen() && !candidate.state.is_in_use;
+                    });
   pooled.state = UpstreamConnectionState();
-  pooled.state.id = command.action.id;
+  pooled.state.request_id = command.action.id;
   pooled.state.attempt = command.attempt;
-  pooled.state.busy = true;
-  out_[command.action.id] = Out{&pooled, command};
+  pooled.state.is_in_use = true;
+  in_flight_[command.action.id] = InFlightAttempt{&pooled, command};
   if (pooled.connection.IsOpen()) {
-    Put(now, pooled, command);
+    SendRequest(now, pooled, command);
   } else {
-    pooled.state.waiting = true;
+    pooled.state.awaits_connect = true;
   }
 }
 
-void Upstream::Put(Micros now, PooledConnection& pooled, const core::StartAttempt& send) {
-  pooled.state.waiting = false;
-  const Asked* const asked = clients_.Find(send.action.id);
-  const SendAttempt& order = send.action;
-  const bool fill = order.source != order.server;
-  const auto source = addresses_.find(order.source);
-  if (asked == nullptr || (fill && source == addresses_.end()) ||
-      !coordinator_.CanSend(now, order.id, send.attempt)) {
-    Tell(pooled, {.outcome = Outcome::kNotSent});
-    return Free(pooled);
+void UpstreamConnections::SendRequest(Micros now, PooledConnection& pooled,
+                                      const core::StartAttempt& command) {
+  pooled.state.awaits_connect = false;
+  const PendingRequest* const request = downstream_.Find(command.action.id);
+  const SendAttempt& action = command.action;
+  const bool is_fill = action.source != action.server;
+  const auto source = addresses_.find(action.source);
+  if (request == nullptr || (is_fill && source == addresses_.end()) ||
+      !coordinator_.CanSend(now, action.id, command.attempt)) {
+    CompleteAttempt(pooled, {.outcome = Outcome::kNotSent});
+    return ReleaseConnection(pooled);
   }
-  pooled.state.to_head = asked->method == "HEAD";
+  pooled.state.is_head_request = request->method == "HEAD";
   const UnixTime signed_at = net::UnixNow();
-  const UnixTime signed_until = signed_at + (order.expires_at - now);
-  std::string out = asked->method + " " +
-                    (asked->link ? signer_.Link(asked->uri, signed_at, signed_until) : asked->uri) +
-                    " HTTP/1.1\r\nHost: " + config_.authority + "\r\nVia: 1.1 " + config_.name + "\r\n";
-  if (!asked->link) out += "Authorization: Bearer " + signer_.Token(signed_at, signed_until) + "\r\n";
-  std::string control = fill ? "" : "only-if-cached";
-  if (order.max_age > Micros{0}) {
+  const UnixTime signed_until = signed_at + (action.expires_at - now);
+  std::string out =
+      request->method + " " +
+      (request->uses_signed_link ? signer_.Link(request->uri, signed_at, signed_until) : request->uri) +
+      " HTTP/1.1\r\nHost: " + config_.authority + "\r\nVia: 1.1 " + config_.name + "\r\n";
+  if (!request->uses_signed_link)
+    out += "Authorization: Bearer " + signer_.Token(signed_at, signed_until) + "\r\n";
+  std::string control = is_fill ? "" : "only-if-cached";
+  if (action.max_age > Micros{0}) {
     control +=
-        (control.empty() ? "" : ", ") + ("max-age=" + std::to_string(order.max_age.count() / 1'000'000));
+        (control.empty() ? "" : ", ") + ("max-age=" + std::to_string(action.max_age.count() / 1'000'000));
   }
-  if (asked->method != "POST" && !control.empty()) out += "Cache-Control: " + control + "\r\n";
-  out += "Tinspan-Fill: keep=" + std::to_string(order.cache_rank);
-  if (fill) out += "; source=" + source->second.name;
-  for (const auto& [set, word] : {std::pair{order.join_fill, "join"},
-                                  {order.source_cached_only, "peek"},
-                                  {order.bypass_parent, "pass"},
-                                  {order.revalidate, "renew"}}) {
-    if (set) out.append("; ").append(word);
+  if (request->method != "POST" && !control.empty()) out += "Cache-Control: " + control + "\r\n";
+  out += "Tinspan-Fill: keep=" + std::to_string(action.cache_rank);
+  if (is_fill) out += "; source=" + source->second.name;
+  for (const auto& [is_set, parameter] : {std::pair{action.join_fill, "join"},
+                                          {action.source_cached_only, "peek"},
+                                          {action.bypass_parent, "pass"},
+                                          {action.revalidate, "renew"}}) {
+    if (is_set) out.append("; ").append(parameter);
   }
-  out.append("\r\n").append(asked->fields);
-  if (asked->method == "POST") out += "Content-Length: " + std::to_string(asked->body.size()) + "\r\n";
-  const bool taken = pooled.connection.Write(out, "\r\n", asked->body);
-  pooled.state.written = pooled.connection.BytesQueued();
-  if (!taken) Break(pooled, Outcome::kConnectFailed);
+  out.append("\r\n").append(request->header_fields);
+  if (request->method == "POST") out += "Content-Length: " + std::to_string(request->body.size()) + "\r\n";
+  const bool is_queued = pooled.connection.Write(out, "\r\n", request->body);
+  pooled.state.request_end = pooled.connection.BytesQueued();
+  if (!is_queued) FailExchange(pooled, Outcome::kConnectFailed);
 }
 
-void Upstream::OnConnectionOpen(PooledConnection& pooled) {
-  const auto out = pooled.state.busy ? out_.find(pooled.state.id) : out_.end();
-  if (!pooled.state.waiting || out == out_.end()) return;
-  const core::StartAttempt send = out->second.send;
-  Put(net::Now(), pooled, send);
-  if (pooled.state.written > 0) events_.emplace_back(core::AttemptSent{send.action.id, send.attempt});
+void UpstreamConnections::OnConnectionOpen(PooledConnection& pooled) {
+  const auto found = pooled.state.is_in_use ? in_flight_.find(pooled.state.request_id) : in_flight_.end();
+  if (!pooled.state.awaits_connect || found == in_flight_.end()) return;
+  const core::StartAttempt command = found->second.command;
+  SendRequest(net::Now(), pooled, command);
+  if (pooled.state.request_end > 0)
+    events_.emplace_back(core::AttemptSent{command.action.id, command.attempt});
 }
 
-// Ends the exchange towards the core, which may still go on on the wire.
-void Upstream::Tell(PooledConnection& pooled, core::AttemptCompleted ended) {
-  const auto found = out_.find(pooled.state.id);
-  if (found == out_.end() || found->second.pooled != &pooled) return;
-  ended.id = pooled.state.id;
-  ended.attempt = pooled.state.attempt;
-  events_.push_back(ended);
-  out_.erase(found);
+void UpstreamConnections::CompleteAttempt(PooledConnection& pooled, core::AttemptCompleted completed) {
+  const auto found = in_flight_.find(pooled.state.request_id);
+  if (found == in_flight_.end() || found->second.pooled != &pooled) return;
+  completed.id = pooled.state.request_id;
+  completed.attempt = pooled.state.attempt;
+  events_.push_back(completed);
+  in_flight_.erase(found);
 }
 
-void Upstream::Free(PooledConnection& pooled) {
-  const bool keep = pooled.state.keep && !pooled.connection.IsClosed();
+void UpstreamConnections::ReleaseConnection(PooledConnection& pooled) {
+  const bool can_reuse = pooled.state.can_reuse && !pooled.connection.IsClosed();
   pooled.connection.SetReadPaused(false);
   pooled.state = UpstreamConnectionState{};
-  if (!keep) {
+  if (!can_reuse) {
     pooled.connection.Close();
     pool_.Retire(pooled);
   }
   pool_.Release(pooled, net::Now());
 }
 
-void Upstream::Break(PooledConnection& pooled, Outcome outcome) {
-  if (!pooled.state.busy) return;
-  failing_.Add(net::Now(), pooled.server);
-  Tell(pooled, {.outcome = outcome});
-  pooled.state.keep = false;
-  Free(pooled);
+void UpstreamConnections::FailExchange(PooledConnection& pooled, Outcome outcome) {
+  if (!pooled.state.is_in_use) return;
+  failure_log_.Add(net::Now(), pooled.server);
+  CompleteAttempt(pooled, {.outcome = outcome});
+  pooled.state.can_reuse = false;
+  ReleaseConnection(pooled);
 }
 
-void Upstream::OnConnectionLost(PooledConnection& pooled) {
-  // Its end may be in the buffer yet, if the server closes after each answer: looked at once it may be passed
-  // on.
-  if (pooled.state.headed && !pooled.state.relayed && !pooled.state.discard) return;
-  const bool whole = pooled.state.written > 0 && pooled.connection.BytesSent() >= pooled.state.written;
-  if (pooled.state.busy) events_.emplace_back(core::ConnectionLost{ServerId{pooled.server}, 1});
-  Break(pooled, whole ? Outcome::kReset : Outcome::kConnectFailed);
+void UpstreamConnections::OnConnectionLost(PooledConnection& pooled) {
+  // The rest of the response may be in the buffer already if the server closes after each response. It is
+  // evaluated once the core lets the response be forwarded.
+  if (pooled.state.has_response_head && !pooled.state.is_forwarding && !pooled.state.is_discarding) return;
+  const bool is_request_sent =
+      pooled.state.request_end > 0 && pooled.connection.BytesSent() >= pooled.state.request_end;
+  if (pooled.state.is_in_use) events_.emplace_back(core::ConnectionLost{ServerId{pooled.server}, 1});
+  FailExchange(pooled, is_request_sent ? Outcome::kReset : Outcome::kConnectFailed);
 }
 
-void Upstream::Execute(Micros, const core::AbortAttempt& command) {
-  const auto found = out_.find(command.id);
-  if (found == out_.end() || found->second.send.attempt != command.attempt) return;
+void UpstreamConnections::Execute(Micros, const core::AbortAttempt& command) {
+  const auto found = in_flight_.find(command.id);
+  if (found == in_flight_.end() || found->second.command.attempt != command.attempt) return;
   PooledConnection& pooled = *found->second.pooled;
-  out_.erase(found);
-  pooled.state.keep = false;  // HTTP/1.1 knows no other way to give a request up
-  Free(pooled);
+  in_flight_.erase(found);
+  pooled.state.can_reuse = false;  // HTTP/1.1 can cancel a request only by closing the connection
+  ReleaseConnection(pooled);
 }
 
-void Upstream::Execute(Micros, const core::ForwardResponse& command) {
-  const auto found = out_.find(command.id);
-  if (found == out_.end() || found->second.send.attempt != command.attempt) return;
+void UpstreamConnections::Execute(Micros, const core::ForwardResponse& command) {
+  const auto found = in_flight_.find(command.id);
+  if (found == in_flight_.end() || found->second.command.attempt != command.attempt) return;
   PooledConnection& pooled = *found->second.pooled;
-  pooled.state.relayed = true;
-  clients_.Pass(command.id, std::exchange(pooled.state.head, {}));
-  Pump(pooled);
+  pooled.state.is_forwarding = true;
+  downstream_.ForwardBytes(command.id, std::exchange(pooled.state.response_head, {}));
+  ProcessInput(pooled);
 }
 
-void Upstream::Pump(PooledConnection& pooled) {
+void UpstreamConnections::ProcessInput(PooledConnection& pooled) {
   UpstreamConnectionState& state = pooled.state;
   while (true) {
     const std::string_view unread = pooled.connection.Unread();
-    if (!state.busy) {
+    if (!state.is_in_use) {
       if (unread.empty() || pooled.connection.IsClosed()) return;
-      pooled.connection.Close();  // a server that speaks unasked
+      pooled.connection.Close();  // unsolicited bytes
       return pool_.Retire(pooled);
     }
-    if (!state.headed) {
-      if (unread.empty() || !ReadHead(pooled)) return;
+    if (!state.has_response_head) {
+      if (unread.empty() || !ReadResponseHead(pooled)) return;
       continue;
     }
-    if (!state.relayed && !state.discard) return;
-    const auto taken = state.body.Take(unread);
-    if (!taken) return Break(pooled, Outcome::kReset);
-    if (*taken > 0 && state.relayed) {
-      const auto backlog = clients_.Pass(state.id, unread.substr(0, *taken));
-      if (!backlog) return;  // its client has gone: the core says Stop
-      if (*backlog > kSlowClient) {
-        state.held = true;
+    if (!state.is_forwarding && !state.is_discarding) return;
+    const auto body_bytes = state.body.Advance(unread);
+    if (!body_bytes) return FailExchange(pooled, Outcome::kReset);
+    if (*body_bytes > 0 && state.is_forwarding) {
+      const auto backlog = downstream_.ForwardBytes(state.request_id, unread.substr(0, *body_bytes));
+      if (!backlog) return;  // the client has disconnected: the core aborts the attempt
+      if (*backlog > kReadPauseBacklogBytes) {
+        state.is_read_paused = true;
         pooled.connection.SetReadPaused(true);
       }
     }
-    pooled.connection.Consume(*taken);
-    if (!state.body.IsWhole()) {
-      if (*taken > 0) continue;
-      if (pooled.connection.IsClosed()) Break(pooled, Outcome::kReset);
+    pooled.connection.Consume(*body_bytes);
+    if (!state.body.IsComplete()) {
+      if (*body_bytes > 0) continue;
+      if (pooled.connection.IsClosed()) FailExchange(pooled, Outcome::kReset);
       return;
     }
-    if (state.relayed) Tell(pooled, {.outcome = Outcome::kServed, .note = state.note});
-    return Free(pooled);
+    if (state.is_forwarding) CompleteAttempt(pooled, {.outcome = Outcome::kServed, .note = state.fill_note});
+    return ReleaseConnection(pooled);
   }
 }
 
-bool Upstream::ReadHead(PooledConnection& pooled) {
+bool UpstreamConnections::ReadResponseHead(PooledConnection& pooled) {
   UpstreamConnectionState& state = pooled.state;
   Head head;
   const int status = ReadResponse(pooled.connection.Unread(), head);
   if (status < 0) return false;
   if (status > 0) {
-    Break(pooled, Outcome::kError);
+    FailExchange(pooled, Outcome::kError);
     return false;
   }
-  if (head.status < 200) {  // 100 and its like announce the answer
+  if (head.status < 200) {  // interim responses (1xx) precede the final one
     pooled.connection.Consume(head.length);
     if (head.status != 101) return true;
-    Break(pooled, Outcome::kError);
+    FailExchange(pooled, Outcome::kError);
     return false;
   }
   std::uint64_t length = 0;
-  const auto framing = ResponseFraming(head, state.to_head, length);
-  if (!framing) {  // without an end that shows, a broken answer could not be told from a whole one
-    Break(pooled, Outcome::kError);
+  const auto framing = ResponseFraming(head, state.is_head_request, length);
+  // Without explicit framing a truncated response could not be distinguished from a complete one.
+  if (!framing) {
+    FailExchange(pooled, Outcome::kError);
     return false;
   }
-  state.headed = true;
+  state.has_response_head = true;
   const std::string_view connection = head.Field("Connection");
-  state.keep = !HasToken(connection, "close");
+  state.can_reuse = !HasToken(connection, "close");
   state.body.Start(*framing, length);
-  state.note = Note(head.Field("Cache-Status"));
-  Asked* const asked = clients_.Find(state.id);
-  const auto out = out_.find(state.id);
-  const bool only = out != out_.end() && out->second.send.action.source == out->second.send.action.server;
-  const auto refusal = Refusal(head.status, asked != nullptr && asked->method == "POST", only);
-  if (refusal || asked == nullptr) {
-    if (asked != nullptr) asked->blame = 0;
-    // A server that takes our signature for none: an error of ours, not of the client.
-    if ((head.status == 401 || head.status == 403) && asked != nullptr) {
-      asked->blame = 502;
+  state.fill_note = FillNoteOf(head.Field("Cache-Status"));
+  PendingRequest* const request = downstream_.Find(state.request_id);
+  const auto found = in_flight_.find(state.request_id);
+  const bool only_if_cached =
+      found != in_flight_.end() && found->second.command.action.source == found->second.command.action.server;
+  const auto failure =
+      FailureOutcome(head.status, request != nullptr && request->method == "POST", only_if_cached);
+  if (failure || request == nullptr) {
+    if (request != nullptr) request->override_status = 0;
+    // The server rejects the gateway's signature: an error of the gateway, not of the client.
+    if ((head.status == 401 || head.status == 403) && request != nullptr) {
+      request->override_status = 502;
       log::Error("server.refuses_signature", {{"server", pooled.server}, {"status", head.status}},
-                 "server {} at {} refuses our signature with {}", pooled.server, pooled.endpoint.Text(),
-                 head.status);
+                 "server {} at {} rejects the gateway's signature with status {}", pooled.server,
+                 pooled.endpoint.Text(), head.status);
     }
-    state.discard = true;
-    Tell(pooled, {.outcome = refusal.value_or(Outcome::kError), .note = FillNote::kNone});
+    state.is_discarding = true;
+    CompleteAttempt(pooled, {.outcome = failure.value_or(Outcome::kError), .note = FillNote::kNone});
     pooled.connection.Consume(head.length);
     return true;
   }
-  state.head = "HTTP/1.1 " + std::to_string(head.status) + " \r\n";
+  state.response_head = "HTTP/1.1 " + std::to_string(head.status) + " \r\n";
   for (const auto& [name, value] : head.fields) {
-    if (!StaysHere(name, connection)) state.head.append(name).append(": ").append(value).append("\r\n");
+    if (!IsStrippedFromResponse(name, connection))
+      state.response_head.append(name).append(": ").append(value).append("\r\n");
   }
-  state.head.append("Via: 1.1 ").append(config_.name).append("\r\n\r\n");
-  // Age is in whole seconds, rounded down: the copy may be a second older. Without it the answer comes from
-  // the origin (RFC 9111, 5.1).
+  state.response_head.append("Via: 1.1 ").append(config_.name).append("\r\n\r\n");
+  // Age is in whole seconds, rounded down, so the copy may be up to one second older. A response without Age
+  // is from the origin (RFC 9111, 5.1).
   const Micros now = net::Now();
-  Micros issued = now;
+  Micros issued_at = now;
   std::int64_t age = 0;
-  const std::string_view told = head.Field("Age");
-  if (std::from_chars(told.data(), told.data() + told.size(), age).ec == std::errc{} && age >= 0) {
-    issued = now - Micros{(std::min<std::int64_t>(age, 1'000'000'000) + 1) * 1'000'000};
+  const std::string_view age_field = head.Field("Age");
+  if (std::from_chars(age_field.data(), age_field.data() + age_field.size(), age).ec == std::errc{} &&
+      age >= 0) {
+    issued_at = now - Micros{(std::min<std::int64_t>(age, 1'000'000'000) + 1) * 1'000'000};
   }
-  events_.emplace_back(core::ResponseStarted{.id = state.id, .attempt = state.attempt, .issued_at = issued});
+  events_.emplace_back(
+      core::ResponseStarted{.id = state.request_id, .attempt = state.attempt, .issued_at = issued_at});
   pooled.connection.Consume(head.length);
   return true;
 }
 
-void Upstream::EndRound(Micros now) {
+void UpstreamConnections::EndRound(Micros now) {
   for (PooledConnection& pooled : pool_.Connections()) {
     UpstreamConnectionState& state = pooled.state;
-    if (state.held) {
-      const auto backlog = clients_.Backlog(state.id);
-      if (backlog && *backlog < kSlowClient / 2) {
-        state.held = false;
+    if (state.is_read_paused) {
+      const auto backlog = downstream_.Backlog(state.request_id);
+      if (backlog && *backlog < kReadPauseBacklogBytes / 2) {
+        state.is_read_paused = false;
         pooled.connection.SetReadPaused(false);
-        Pump(pooled);
+        ProcessInput(pooled);
       }
-    } else if (state.busy && state.headed && !pooled.connection.IsClosed() &&
+    } else if (state.is_in_use && state.has_response_head && !pooled.connection.IsClosed() &&
                now - pooled.connection.LastActivityAt() > config_.stall) {
-      pooled.connection.Close();  // a begun answer that does not move any more
-      Break(pooled, Outcome::kReset);
+      pooled.connection.Close();  // the response has stalled
+      FailExchange(pooled, Outcome::kReset);
     }
   }
   pool_.Sweep(now);
--- a/src/front/http/upstream.hpp
+++ b/src/front/http/upstream.hpp
@@ -1,8 +1,10 @@
-// The servers' side of the gateway: HTTP/1.1 to signing servers, one exchange at a time on a connection.
+// The servers' side of the gateway: HTTP/1.1 requests to signing servers, one exchange at a time per
+// connection.
 //
-// What the module orders goes out in standard fields: `Cache-Control: max-age=N` is the oldest copy that will
-// do, `only-if-cached` asks for no fill. The rest (source of a fill, rank of the copy, and how) stands in
-// `Tinspan-Fill: source=NODE/ID; keep=1; join; peek; pass; renew`, which a server may leave unread.
+// The decisions of the routing module are sent in standard fields as far as possible: `Cache-Control:
+// max-age=N` is the maximum age of an acceptable copy, `only-if-cached` forbids a fill. The others are
+// parameters of `Tinspan-Fill: source=NODE/ID; keep=1; join; peek; pass; renew` (source of the fill, rank of
+// the copy, and how to fill), which a server may ignore.
 #pragma once
 
 #include <string>
@@ -19,71 +21,89 @@
 
 namespace tinspan::http {
 
+/// State of the exchange on a connection.
 struct UpstreamConnectionState {
-  RequestId id{};
+  RequestId request_id{};
   std::uint32_t attempt = 0;
-  bool busy = false;     // an exchange is under way
-  bool waiting = false;  // for the connection to come up
-  bool headed = false;   // the answer's head has been read
-  bool relayed = false;  // its client may have it
-  bool discard = false;  // nobody may
-  bool to_head = false;  // it answers a HEAD
-  bool keep = true;      // the server goes on with the connection
-  bool held = false;     // its client is slow
-  std::uint64_t written = 0;
-  std::string head;  // the answer's, as the client gets it
-  FillNote note = FillNote::kNone;
+  bool is_in_use = false;          // an exchange is in progress
+  bool awaits_connect = false;     // the request is sent once the connection is open
+  bool has_response_head = false;  // the head of the final response was read
+  bool is_forwarding = false;      // the response is forwarded to the client
+  bool is_discarding = false;      // the response is read and dropped
+  bool is_head_request = false;    // the response has no body (RFC 9112, 6.3)
+  bool can_reuse = true;           // the connection is persistent
+  bool is_read_paused = false;     // because the client reads slowly
+  std::uint64_t request_end = 0;   // Connection::BytesQueued after the request; 0: not written yet
+  std::string response_head;       // of the response, as forwarded to the client
+  FillNote fill_note = FillNote::kNone;
   BodyReader body;
 };
 
-class Upstream final : public net::ConnectionPool<UpstreamConnectionState>::Callbacks {
+/// Executes the core's commands to servers and reports their outcomes as events. Not thread-safe; all
+/// arguments of the constructor must outlive it.
+class UpstreamConnections final : public net::ConnectionPool<UpstreamConnectionState>::Callbacks {
  public:
   using Pool = net::ConnectionPool<UpstreamConnectionState>;
   using PooledConnection = Pool::PooledConnection;
 
-  Upstream(net::EventLoop& loop, const config::Http& config, core::RequestCoordinator& coordinator,
-           Clients& clients, const Signer& signer, std::vector<core::Event>& events);
+  UpstreamConnections(net::EventLoop& loop, const config::Http& config, core::RequestCoordinator& coordinator,
+                      DownstreamConnections& downstream, const Signer& signer,
+                      std::vector<core::Event>& events);
 
-  struct Address {
+  /// Name and address of a server.
+  struct ServerAddress {
     std::string name;
     net::Endpoint endpoint;
   };
-  void Know(ServerId id, Address address) { addresses_[id] = std::move(address); }
-  void Forsake(ServerId id) {
+  /// Adds a server, or changes its address.
+  void AddEndpoint(ServerId id, ServerAddress address) { addresses_[id] = std::move(address); }
+  /// The server was removed: its connections get no new request.
+  void RemoveEndpoint(ServerId id) {
     pool_.RetireServer(static_cast<std::uint64_t>(id));
-    addresses_.erase(id);  // over a long day many come and go
+    addresses_.erase(id);  // bounds the map: many servers are added and removed over a day
   }
 
+  /// Sends the request on a pooled connection, or as soon as a new one is open.
   void Execute(Micros now, const core::StartAttempt& command);
+  /// Cancels the attempt and closes its connection. No effect if that attempt is not in flight.
   void Execute(Micros now, const core::AbortAttempt& command);
+  /// Forwards the response of the attempt to the client from now on.
   void Execute(Micros now, const core::ForwardResponse& command);
+  /// Resumes paused reads, fails stalled responses and frees closed connections. Must be called once per
+  /// round.
   void EndRound(Micros now);
-  front::UpstreamFailureLog& Failing() { return failing_; }
+  front::UpstreamFailureLog& FailureLog() { return failure_log_; }
 
   void OnConnectionOpen(PooledConnection& pooled) override;
-  void OnConnectionData(PooledConnection& pooled) override { Pump(pooled); }
+  void OnConnectionData(PooledConnection& pooled) override { ProcessInput(pooled); }
   void OnConnectionLost(PooledConnection& pooled) override;
 
  private:
-  struct Out {
+  struct InFlightAttempt {
     PooledConnection* pooled = nullptr;
-    core::StartAttempt send;
+    core::StartAttempt command;
   };
-  void Put(Micros now, PooledConnection& pooled, const core::StartAttempt& send);
-  void Pump(PooledConnection& pooled);
-  bool ReadHead(PooledConnection& pooled);  // false: not whole yet, or the exchange is over
-  void Tell(PooledConnection& pooled, core::AttemptCompleted ended);
-  void Free(PooledConnection& pooled);                    // the exchange is over on the wire as well
-  void Break(PooledConnection& pooled, Outcome outcome);  // the connection cannot be used any more
+  void SendRequest(Micros now, PooledConnection& pooled, const core::StartAttempt& command);
+  // Reads and forwards or drops what was received.
+  void ProcessInput(PooledConnection& pooled);
+  // Returns false if the head is incomplete or the exchange has failed.
+  bool ReadResponseHead(PooledConnection& pooled);
+  // Reports the outcome to the core, unless the attempt was completed or cancelled before. The exchange may
+  // continue on the connection.
+  void CompleteAttempt(PooledConnection& pooled, core::AttemptCompleted completed);
+  // Ends the exchange on the connection, which is closed unless it can be reused.
+  void ReleaseConnection(PooledConnection& pooled);
+  // Completes the attempt with a failure and closes the connection.
+  void FailExchange(PooledConnection& pooled, Outcome outcome);
 
   const config::Http& config_;
   core::RequestCoordinator& coordinator_;
-  Clients& clients_;
+  DownstreamConnections& downstream_;
   const Signer& signer_;
   std::vector<core::Event>& events_;
-  std::unordered_map<ServerId, Address> addresses_;
-  std::unordered_map<RequestId, Out> out_;
-  front::UpstreamFailureLog failing_;
+  std::unordered_map<ServerId, ServerAddress> addresses_;
+  std::unordered_map<RequestId, InFlightAttempt> in_flight_;
+  front::UpstreamFailureLog failure_log_;
   Pool pool_;
 };
 
--- a/src/front/http/uri.cpp
+++ b/src/front/http/uri.cpp
@@ -7,36 +7,39 @@
 namespace tinspan::http {
 namespace {
 
-int HexDigit(char c) {
-  if (c >= '0' && c <= '9') return c - '0';
-  if (c >= 'A' && c <= 'F') return c - 'A' + 10;
-  if (c >= 'a' && c <= 'f') return c - 'a' + 10;
+int HexDigit(char octet) {
+  if (octet >= '0' && octet <= '9') return octet - '0';
+  if (octet >= 'A' && octet <= 'F') return octet - 'A' + 10;
+  if (octet >= 'a' && octet <= 'f') return octet - 'a' + 10;
   return -1;
 }
-bool IsUnreserved(char c) {
-  return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '-' || c == '.' ||
-         c == '_' || c == '~';
+bool IsUnreserved(char octet) {
+  return (octet >= 'a' && octet <= 'z') || (octet >= 'A' && octet <= 'Z') || (octet >= '0' && octet <= '9') ||
+         octet == '-' || octet == '.' || octet == '_' || octet == '~';
 }
 
-std::optional<std::string> Normalised(std::string_view text, bool path) {
+// Returns nothing for characters that are not allowed in a path or query, and for ambiguous escapes.
+std::optional<std::string> Normalize(std::string_view text, bool is_path) {
   constexpr std::string_view kHex = "0123456789ABCDEF";
   constexpr std::string_view kAllowed = "!$&'()*+,;=:@/";
   std::string out;
-  for (std::size_t i = 0; i < text.size(); ++i) {
-    const char c = text[i];
-    if (c != '%') {
-      const bool good = IsUnreserved(c) || kAllowed.find(c) != std::string_view::npos || (!path && c == '?');
-      if (!good) return std::nullopt;
-      out += c;
+  for (std::size_t position = 0; position < text.size(); ++position) {
+    const char octet = text[position];
+    if (octet != '%') {
+      const bool is_allowed =
+          IsUnreserved(octet) || kAllowed.find(octet) != std::string_view::npos || (!is_path && octet == '?');
+      if (!is_allowed) return std::nullopt;
+      out += octet;
       continue;
     }
-    if (i + 2 >= text.size()) return std::nullopt;
-    const int high = HexDigit(text[i + 1]), low = HexDigit(text[i + 2]);
+    if (position + 2 >= text.size()) return std::nullopt;
+    const int high = HexDigit(text[position + 1]), low = HexDigit(text[position + 2]);
     if (high < 0 || low < 0) return std::nullopt;
     const char value = static_cast<char>(high * 16 + low);
     if (static_cast<unsigned char>(value) < 0x20 || value == 0x7f) return std::nullopt;
-    // Servers differ on whether these separate: what one would verify another would not fetch.
-    if (path && (value == '/' || value == '\\')) return std::nullopt;
+    // Servers differ in whether these separate segments: the verified URI could be another than the one that
+    // is fetched.
+    if (is_path && (value == '/' || value == '\\')) return std::nullopt;
     if (IsUnreserved(value)) {
       out += value;
     } else {
@@ -44,25 +47,26 @@
       out += kHex[static_cast<std::size_t>(high)];
       out += kHex[static_cast<std::size_t>(low)];
     }
-    i += 2;
+    position += 2;
   }
   return out;
 }
 
-std::string WithoutDots(std::string_view path) {
-  std::vector<std::string_view> kept;
-  bool folder = false;
-  for (std::size_t at = 1; at <= path.size();) {
-    const std::size_t end = std::min(path.find('/', at), path.size());
-    const std::string_view segment = path.substr(at, end - at);
-    folder = segment == "." || segment == "..";
-    if (segment == ".." && !kept.empty()) kept.pop_back();
-    if (!folder) kept.push_back(segment);
-    at = end + 1;
+// RFC 3986, 5.2.4. A dot segment at the end leaves a slash.
+std::string RemoveDotSegments(std::string_view path) {
+  std::vector<std::string_view> segments;
+  bool is_dot_segment = false;
+  for (std::size_t position = 1; position <= path.size();) {
+    const std::size_t end = std::min(path.find('/', position), path.size());
+    const std::string_view segment = path.substr(position, end - position);
+    is_dot_segment = segment == "." || segment == "..";
+    if (segment == ".." && !segments.empty()) segments.pop_back();
+    if (!is_dot_segment) segments.push_back(segment);
+    position = end + 1;
   }
   std::string out;
-  for (const std::string_view segment : kept) out.append("/").append(segment);
-  if (folder || out.empty()) out += "/";
+  for (const std::string_view segment : segments) out.append("/").append(segment);
+  if (is_dot_segment || out.empty()) out += "/";
   return out;
 }
 
@@ -70,23 +74,23 @@
 
 std::optional<Target> ReadTarget(std::string_view text) {
   if (text.empty() || text.front() != '/') return std::nullopt;
-  const std::size_t mark = text.find('?');
-  const auto path = Normalised(text.substr(0, mark), true);
+  const std::size_t query_mark = text.find('?');
+  const auto path = Normalize(text.substr(0, query_mark), true);
   if (!path) return std::nullopt;
   Target out;
-  out.path = WithoutDots(*path);
-  if (mark == std::string_view::npos) return out;
-  const auto query = Normalised(text.substr(mark + 1), false);
+  out.path = RemoveDotSegments(*path);
+  if (query_mark == std::string_view::npos) return out;
+  const auto query = Normalize(text.substr(query_mark + 1), false);
   if (!query) return std::nullopt;
-  bool packaged = false;
-  for (std::size_t at = 0; at <= query->size();) {
-    const std::size_t end = std::min(query->find('&', at), query->size());
-    const std::string_view pair = std::string_view(*query).substr(at, end - at);
-    at = end + 1;
-    if (pair.substr(0, pair.find('=')) == kPackage) {
-      if (std::exchange(packaged, true)) return std::nullopt;
-      if (pair.size() > kPackage.size()) out.package = pair.substr(kPackage.size() + 1);
-    } else if (!pair.empty() || at <= query->size()) {
+  bool has_package = false;
+  for (std::size_t position = 0; position <= query->size();) {
+    const std::size_t end = std::min(query->find('&', position), query->size());
+    const std::string_view pair = std::string_view(*query).substr(position, end - position);
+    position = end + 1;
+    if (pair.substr(0, pair.find('=')) == kPackageParameter) {
+      if (std::exchange(has_package, true)) return std::nullopt;
+      if (pair.size() > kPackageParameter.size()) out.package = pair.substr(kPackageParameter.size() + 1);
+    } else if (!pair.empty() || position <= query->size()) {
       out.query.append(out.query.empty() ? "" : "&").append(pair);
     }
   }
--- a/src/front/http/uri.hpp
+++ b/src/front/http/uri.hpp
@@ -1,4 +1,4 @@
-// Request targets in one canonical form: what is verified is what is routed.
+// Request targets in canonical form. Verification and routing use the same form, so they cannot disagree.
 #pragma once
 
 #include <optional>
@@ -7,18 +7,21 @@
 
 namespace tinspan::http {
 
-inline constexpr std::string_view kPackage = "URISigningPackage";  // RFC 9246, 2.2.1
+inline constexpr std::string_view kPackageParameter = "URISigningPackage";  // RFC 9246, 2.2.1
 
+/// A request target, divided into its parts.
 struct Target {
-  std::string path;     // canonical
-  std::string query;    // without the package and without '?'
+  std::string path;     // normalized
+  std::string query;    // normalized, without '?' and the package
   std::string package;  // the signed JWT, if the target carries one
+  /// Path and query, without the package.
   std::string Uri() const { return query.empty() ? path : path + "?" + query; }
 };
 
-// Reads an origin-form target. Normalised as in RFC 3986, 6.2.2: unreserved characters decoded, hex digits in
-// upper case, dot segments removed. Nothing if it has no single reading: a bad escape, an escaped slash,
-// backslash or control character, a fragment, or more than one package.
+/// Parses a target in origin-form and normalizes it as in RFC 3986, 6.2.2: unreserved characters are decoded,
+/// hex digits are in upper case, dot segments are removed. Returns nothing if the target is ambiguous or
+/// invalid: an invalid escape, an escaped slash or backslash in the path, an escaped control character, a
+/// fragment, or more than one package.
 std::optional<Target> ReadTarget(std::string_view text);
 
 }  // namespace tinspan::http
