--- a/bench/record_cost.cpp
+++ b/bench/record_cost.cpp
@@ -1,6 +1,9 @@
-// What recording costs a gateway: two of them, one that records and one that does not, get the same load in
-// turn, pair by pair; CPU time is what the kernel says that all their threads ran. And whether memory stays
-// flat while members come and go.
+// Measures what recording costs a gateway.
+//
+// pair: gateways with and without recording get the same load in turn, round by round. CPU time is the run
+// time of all their threads according to the kernel.
+//
+// churn: whether memory stays flat while servers are added and removed.
 //
 //   record_cost pair [PAIRS=60] [SECONDS=0.3] [RATE=0, as fast as they are answered]
 //   record_cost churn [REQUESTS=600000] [CHANGES=3600]
@@ -20,8 +23,8 @@
 constexpr const char* kKey =
     R"({"kty":"oct","kid":"shared-1","alg":"HS256","k":"AyM1SysPpbyDfgZld3umj1qzKObwVMkoqQ-EstJQLr_T-1qS0gZH75aKtMN3Yj0iPS4hcgUuTwjAzZr1Z9CAow"})";
 
-struct World {
-  World()
+struct Environment {
+  Environment()
       : cache([](auto&, auto&) {
           return HttpStandIn::Reply("200 OK", std::string(2000, 'x'), "Cache-Status: c; hit\r\n");
         }) {
@@ -38,14 +41,14 @@
         tinspan::http::Key::FromJwk(kKey, "key"),
         R"({"iss":"shop","exp":)" + std::to_string(UnixMs() / 1000 + 36'000) + "}");
   }
-  ~World() { fs::remove_all(folder); }
+  ~Environment() { fs::remove_all(folder); }
   void Write(const std::string& name, const std::string& text) { std::ofstream(folder + name) << text; }
   std::unique_ptr<Program> Start(const std::string& name, bool record) {
     std::ifstream in(std::string(TINSPAN_EXAMPLE));
     Json file = Json::parse(in);
     file["name"] = name;
     file["listen"] = "127.0.0.1:0";
-    file.erase("ops");  // measured without them
+    file.erase("ops");  // measured without the admin listener and the membership
     file.erase("members");
     file["keys_file"] = "keys.json";
     file["signing_key_file"] = "own.json";
@@ -64,13 +67,13 @@
   std::string folder, token;
 };
 
-// Nanoseconds that all threads of a process have run.
-std::uint64_t RanNs(pid_t pid) {
+// Returns the CPU time of all threads of a process, in nanoseconds.
+std::uint64_t CpuTimeNs(pid_t pid) {
   std::uint64_t sum = 0;
   for (const auto& task : fs::directory_iterator("/proc/" + std::to_string(pid) + "/task")) {
-    std::uint64_t ran = 0;
-    std::ifstream(task.path() / "schedstat") >> ran;
-    sum += ran;
+    std::uint64_t thread_ns = 0;
+    std::ifstream(task.path() / "schedstat") >> thread_ns;
+    sum += thread_ns;
   }
   return sum;
 }
@@ -82,9 +85,9 @@
   return 0;
 }
 
-// So many requests, one after the other, at that rate (0: as fast as they are answered). How many were
-// served.
-int Ask(const World& world, int port, int count, double rate) {
+// Sends `count` requests one after the other, `rate` per second (0: as fast as they are answered). Returns
+// how many were served.
+int SendRequests(const Environment& environment, int port, int count, double rate) {
   TcpPeer client = TcpPeer::Connect(port);
   const auto start = std::chrono::steady_clock::now();
   int served = 0;
@@ -92,15 +95,16 @@
     if (rate > 0) std::this_thread::sleep_until(start + std::chrono::duration<double>(i / rate));
     client.Send("GET /" + std::string(i % 2 == 0 ? "scans" : "pages") + "/g" + std::to_string(i % 16) + "/o" +
                 std::to_string(i % 500) + " HTTP/1.1\r\nHost: scans.example.is\r\nAuthorization: Bearer " +
-                world.token + "\r\n\r\n");
+                environment.token + "\r\n\r\n");
     const std::string head = client.ReadUntil("\r\n\r\n") + "\r\n";
-    const std::size_t at = head.find("Content-Length: ");
-    if (at != std::string::npos) client.ReadExactly(std::stoul(head.substr(at + 16)));
+    const std::size_t field = head.find("Content-Length: ");
+    if (field != std::string::npos) client.ReadExactly(std::stoul(head.substr(field + 16)));
     served += head.starts_with("HTTP/1.1 200") ? 1 : 0;
   }
   return served;
 }
 
+// Waits until the gateway is healthy and returns its port.
 int AwaitReady(Program& program) {
   const int port = program.Port();
   for (const auto end = UnixMs() + kWaitLimitMs;; ::usleep(10'000)) {
@@ -122,25 +126,27 @@
   return values[values.size() / 2];
 }
 
-// The control does not record either: how far it seems to be off is what the machine's noise is worth.
-int Pairs(int rounds, double seconds, double rate) {
-  World world;
-  const std::unique_ptr<Program> programs[] = {world.Start("plain", false), world.Start("recording", true),
-                                               world.Start("control", false)};
+// Like the plain gateway, the control does not record: its difference from the plain one shows the noise of
+// the measurement.
+int MeasurePairs(int rounds, double seconds, double rate) {
+  Environment environment;
+  const std::unique_ptr<Program> programs[] = {environment.Start("plain", false),
+                                               environment.Start("recording", true),
+                                               environment.Start("control", false)};
   int ports[3];
   for (int i = 0; i < 3; ++i) ports[i] = AwaitReady(*programs[i]);
   const int count = std::max(1, static_cast<int>(seconds * (rate > 0 ? rate : 5000)));
-  for (const int port : ports) CHECK_OR_THROW(Ask(world, port, 500, 0) > 490);
-  const std::uint64_t bytes = FolderBytes(world.folder + "records");
+  for (const int port : ports) CHECK_OR_THROW(SendRequests(environment, port, 500, 0) > 490);
+  const std::uint64_t bytes = FolderBytes(environment.folder + "records");
   std::vector<double> recording, control;
   double sums[3] = {0, 0, 0};
   for (int round = 0; round < rounds; ++round) {
     double micros[3];
     for (int i = 0; i < 3; ++i) {
-      const int which = (round + i) % 3;  // each goes first as often
-      const std::uint64_t before = RanNs(programs[which]->Pid());
-      Ask(world, ports[which], count, rate);
-      micros[which] = static_cast<double>(RanNs(programs[which]->Pid()) - before) / 1000 / count;
+      const int which = (round + i) % 3;  // each is first equally often
+      const std::uint64_t before = CpuTimeNs(programs[which]->Pid());
+      SendRequests(environment, ports[which], count, rate);
+      micros[which] = static_cast<double>(CpuTimeNs(programs[which]->Pid()) - before) / 1000 / count;
       sums[which] += micros[which];
     }
     recording.push_back(micros[1] / micros[0]);
@@ -151,33 +157,33 @@
   std::printf("recording against plain: median %+.2f%%; control against plain: median %+.2f%%\n",
               100 * (Median(recording) - 1), 100 * (Median(control) - 1));
   std::printf("%.1f bytes on disk a request\n",
-              static_cast<double>(FolderBytes(world.folder + "records") - bytes) /
+              static_cast<double>(FolderBytes(environment.folder + "records") - bytes) /
                   (static_cast<double>(rounds) * count));
   return 0;
 }
 
-int Churn(int requests, int changes) {
-  World world;
-  const auto recording = world.Start("recording", true);
+int MeasureChurn(int requests, int changes) {
+  Environment environment;
+  const auto recording = environment.Start("recording", true);
   const int port = AwaitReady(*recording);
   std::vector<std::uint64_t> resident;
   constexpr int kParts = 12;
   int served = 0;
   for (int part = 0; part < kParts; ++part) {
     for (int i = 0; i < changes / kParts; i += 10) {
-      served += Ask(world, port, requests / kParts / (changes / kParts / 10), 0);
-      for (int n = 0; n < 10; n += 2) {  // always new names; each that comes goes again
-        const std::string name = "churn-" + std::to_string((part * changes + i + n) / 2);
-        world.consul.Set("shop-cache", name, {world.cache.Port()});
-        world.consul.Set("shop-cache", name, {world.cache.Port(), "critical"});
-        world.consul.Remove("shop-cache", name);
+      served += SendRequests(environment, port, requests / kParts / (changes / kParts / 10), 0);
+      for (int change = 0; change < 10; change += 2) {  // always new names; each one is removed again
+        const std::string name = "churn-" + std::to_string((part * changes + i + change) / 2);
+        environment.consul.Set("shop-cache", name, {environment.cache.Port()});
+        environment.consul.Set("shop-cache", name, {environment.cache.Port(), "critical"});
+        environment.consul.Remove("shop-cache", name);
       }
     }
     resident.push_back(ResidentKb(recording->Pid()));
     std::printf("after %d of %d: %d served, %llu KB resident, %llu bytes of records\n",
                 (part + 1) * requests / kParts, requests, served,
                 static_cast<unsigned long long>(resident.back()),
-                static_cast<unsigned long long>(FolderBytes(world.folder + "records")));
+                static_cast<unsigned long long>(FolderBytes(environment.folder + "records")));
     std::fflush(stdout);
   }
   std::printf("second half: %+lld KB\n",
@@ -189,13 +195,13 @@
 
 int main(int argc, char** argv) {
   const std::string mode = argc > 1 ? argv[1] : "";
-  const auto number = [&](int place, double absent) {
-    return argc > place ? std::atof(argv[place]) : absent;
+  const auto number = [&](int index, double fallback) {
+    return argc > index ? std::atof(argv[index]) : fallback;
   };
   try {
-    if (mode == "pair") return Pairs(static_cast<int>(number(2, 60)), number(3, 0.3), number(4, 0));
+    if (mode == "pair") return MeasurePairs(static_cast<int>(number(2, 60)), number(3, 0.3), number(4, 0));
     if (mode == "churn")
-      return Churn(static_cast<int>(number(2, 600'000)), static_cast<int>(number(3, 3600)));
+      return MeasureChurn(static_cast<int>(number(2, 600'000)), static_cast<int>(number(3, 3600)));
   } catch (const CheckFailure& failure) {
     std::fprintf(stderr, "%s\n", failure.what());
     return 1;
--- a/src/cli/records.cpp
+++ b/src/cli/records.cpp
@@ -17,50 +17,51 @@
 using record::SegmentName;
 namespace wire = record::wire;
 
+// The value of a text option; empty if it is not given.
 std::string TextOf(const Values& values, const char* option) {
   return values.count(option) > 0 ? values[option].as<std::string>() : std::string();
 }
 
-void Tell(const record::Trouble& trouble) {
+void PrintTrouble(const record::Trouble& trouble) {
   std::cerr << trouble.file << ": offset " << trouble.offset << ": " << trouble.what << "\n";
 }
 
 using Incarnation = std::pair<std::string, std::int64_t>;
 
-// Sums up each incarnation.
+// Sums up the records of each incarnation.
 class Summary final : public record::Sink {
  public:
-  struct Line {
+  struct Totals {
     record::Book book;
     std::map<std::uint32_t, bool> segments;
     std::optional<Micros> from, to;
-    std::uint64_t records = 0, requests = 0, traces = 0, dropped = 0;
-    std::string end = "no end";  // a recorder that was killed writes none
+    std::uint64_t records = 0, requests = 0, traces = 0, dropped_records = 0;
+    std::string end = "no end";  // the process was killed, so its recorder wrote no Life record at the end
   };
   void OnRecord(const SegmentName& from, Micros at, const wire::Record& record) override {
-    Line& line = lines[{from.prefix, from.incarnation}];
-    line.book.Note(record);
-    line.segments[from.segment] = true;
-    line.from = std::min(line.from.value_or(at), at);
-    line.to = std::max(line.to.value_or(at), at);
-    ++line.records;
-    if (record.has_trace()) ++line.traces;
-    if (record.has_gap()) line.dropped += record.gap().records();
+    Totals& totals = incarnations[{from.prefix, from.incarnation}];
+    totals.book.Note(record);
+    totals.segments[from.segment] = true;
+    totals.from = std::min(totals.from.value_or(at), at);
+    totals.to = std::max(totals.to.value_or(at), at);
+    ++totals.records;
+    if (record.has_trace()) ++totals.traces;
+    if (record.has_gap()) totals.dropped_records += record.gap().records();
     for (int i = 1; record.has_window() && i < record.window().ended_size(); i += 2) {
-      line.requests += record.window().ended(i);
+      totals.requests += record.window().ended(i);
     }
-    if (record.has_life() && record.life().what() == wire::Life::STOPPED) line.end = "stopped";
-    if (record.has_life() && record.life().what() == wire::Life::CUT) line.end = "cut";
+    if (record.has_life() && record.life().what() == wire::Life::STOPPED) totals.end = "stopped";
+    if (record.has_life() && record.life().what() == wire::Life::CUT) totals.end = "cut";
   }
   void OnTrouble(const record::Trouble& trouble) override {
-    Tell(trouble);
+    PrintTrouble(trouble);
     ++troubles;
   }
-  std::map<Incarnation, Line> lines;
+  std::map<Incarnation, Totals> incarnations;
   std::uint64_t troubles = 0;
 };
 
-// Prints what passes the filters.
+// Prints the records that pass the filters as JSON lines.
 class Printer final : public record::Sink {
  public:
   explicit Printer(const Values& values)
@@ -85,23 +86,23 @@
     if (!kind_.empty() && record::KindOf(record) != kind_) return;
     if (request_ && !(record.has_trace() && record.trace().request() == *request_)) return;
     auto json = record::ToJson(book, at, record);
-    if (!server_.empty() && !Names(json, {"server", "source", "name"}, server_)) return;
-    if (!class_.empty() && !Names(json, {"class"}, class_)) return;
+    if (!server_.empty() && !HasMember(json, {"server", "source", "name"}, server_)) return;
+    if (!class_.empty() && !HasMember(json, {"class"}, class_)) return;
     std::cout << json.dump(-1, ' ', false, nlohmann::ordered_json::error_handler_t::replace) << "\n";
   }
   void OnTrouble(const record::Trouble& trouble) override {
-    Tell(trouble);
-    troubled_ = true;
+    PrintTrouble(trouble);
+    has_troubles_ = true;
   }
-  bool Troubled() const { return troubled_; }
+  bool HasTroubles() const { return has_troubles_; }
 
  private:
-  // Whether one of these members, here or further in, has that value.
-  static bool Names(const nlohmann::ordered_json& json, std::initializer_list<std::string_view> members,
-                    const std::string& value) {
-    for (const auto& [key, one] : json.items()) {
-      if (one.is_structured() && Names(one, members, value)) return true;
-      if (one == value && std::find(members.begin(), members.end(), key) != members.end()) return true;
+  // Whether one of these members has this value, in `json` itself or nested in it.
+  static bool HasMember(const nlohmann::ordered_json& json, std::initializer_list<std::string_view> members,
+                        const std::string& value) {
+    for (const auto& [key, member] : json.items()) {
+      if (member.is_structured() && HasMember(member, members, value)) return true;
+      if (member == value && std::find(members.begin(), members.end(), key) != members.end()) return true;
     }
     return false;
   }
@@ -109,7 +110,7 @@
   std::string kind_, server_, class_;
   std::optional<std::uint64_t> request_;
   std::map<Incarnation, record::Book> books_;
-  bool troubled_ = false;
+  bool has_troubles_ = false;
 };
 
 }  // namespace
@@ -148,29 +149,30 @@
 int RunRecordsList(const Values&, const std::vector<std::string>& arguments) {
   Summary summary;
   const std::uint64_t bytes = ReadAll(arguments, summary);
-  for (const auto& [key, line] : summary.lines) {
-    std::cout << line.book.Header().name() << "  started " << TimeText(Micros{key.second}) << "  records "
-              << TimeText(line.from.value_or(Micros{0})) << " to " << TimeText(line.to.value_or(Micros{0}))
-              << "  " << line.segments.size() << " segments  " << line.requests << " requests  "
-              << line.traces << " traces  " << line.end;
-    if (line.dropped > 0) std::cout << "  " << line.dropped << " records dropped";
+  for (const auto& [key, totals] : summary.incarnations) {
+    std::cout << totals.book.Header().name() << "  started " << TimeText(Micros{key.second}) << "  records "
+              << TimeText(totals.from.value_or(Micros{0})) << " to "
+              << TimeText(totals.to.value_or(Micros{0})) << "  " << totals.segments.size() << " segments  "
+              << totals.requests << " requests  " << totals.traces << " traces  " << totals.end;
+    if (totals.dropped_records > 0) std::cout << "  " << totals.dropped_records << " records dropped";
     std::cout << "\n";
   }
-  std::cout << summary.lines.size() << " lives, " << bytes << " bytes, " << summary.troubles << " troubles\n";
+  std::cout << summary.incarnations.size() << " lives, " << bytes << " bytes, " << summary.troubles
+            << " troubles\n";
   return 0;
 }
 
 int RunRecordsCat(const Values& values, const std::vector<std::string>& arguments) {
   Printer printer(values);
   ReadAll(arguments, printer);
-  return printer.Troubled() ? 1 : 0;
+  return printer.HasTroubles() ? 1 : 0;
 }
 
 int RunRecordsVerify(const Values&, const std::vector<std::string>& arguments) {
   Summary summary;
   const std::uint64_t bytes = ReadAll(arguments, summary);
   std::uint64_t records = 0;
-  for (const auto& [key, line] : summary.lines) records += line.records;
+  for (const auto& [key, totals] : summary.incarnations) records += totals.records;
   std::cout << records << " records in " << bytes << " bytes, " << summary.troubles << " troubles\n";
   return summary.troubles == 0 ? 0 : 1;
 }
--- a/src/cli/records.hpp
+++ b/src/cli/records.hpp
@@ -1,4 +1,4 @@
-// `tinspan records`: what flight recorders wrote, listed, printed and checked.
+// The commands of `tinspan records`: list, print and check the segments of flight recorders.
 #pragma once
 
 #include <optional>
@@ -8,15 +8,18 @@
 
 namespace tinspan::cli {
 
+// Declares the options of `records cat`.
 void DescribeRecordsCat(Options& options);
+// The commands `records ls`, `records cat` and `records verify`. They return the exit status: cat and verify
+// 1 if something could not be read.
 int RunRecordsList(const Values& values, const std::vector<std::string>& arguments);
 int RunRecordsCat(const Values& values, const std::vector<std::string>& arguments);
 int RunRecordsVerify(const Values& values, const std::vector<std::string>& arguments);
 
-// All that is in the folders now, and how many bytes that was. Throws std::runtime_error where that is
-// nothing.
+// Passes all records that are in the folders now to `sink` and returns the number of bytes read. Throws
+// std::runtime_error if there are no segments.
 std::uint64_t ReadAll(const std::vector<std::string>& paths, record::Sink& sink);
-// A time given as an option, or nothing where it is not. Throws Usage.
+// The value of a time option; nothing if it is not given. Throws Usage if it is not a time.
 std::optional<Micros> TimeOption(const Values& values, const char* option);
 
 }  // namespace tinspan::cli
--- a/src/record/book.cpp
+++ b/src/record/book.cpp
@@ -9,10 +9,10 @@
   if (record.has_server()) servers_[record.server().number()] = record.server();
 }
 
-std::string Book::ClassName(std::uint32_t place) const {
-  return place < static_cast<std::uint32_t>(header_.classes_size())
-             ? header_.classes(static_cast<int>(place)).name()
-             : "class " + std::to_string(place);
+std::string Book::ClassName(std::uint32_t class_id) const {
+  return class_id < static_cast<std::uint32_t>(header_.classes_size())
+             ? header_.classes(static_cast<int>(class_id)).name()
+             : "class " + std::to_string(class_id);
 }
 
 const wire::Server* Book::Server(std::uint32_t number) const {
--- a/src/record/book.hpp
+++ b/src/record/book.hpp
@@ -1,5 +1,4 @@
-// What the records of one incarnation say about themselves: its classes, and which number stands for which
-// server. Pure.
+// The names that the records of one incarnation refer to by number: its classes and servers. Pure.
 #pragma once
 
 #include <string>
@@ -9,19 +8,24 @@
 
 namespace tinspan::record {
 
+// Collects the Header and Server records of one incarnation and resolves the numbers in its other records.
 class Book {
  public:
+  // Must be called with each record, in order, before the record's numbers are resolved.
   void Note(const wire::Record& record);
   const wire::Header& Header() const { return header_; }
-  std::string ClassName(std::uint32_t place) const;
-  std::string ServerName(std::uint32_t number) const;  // "-" for none
+  // "class N" if the header does not list it.
+  std::string ClassName(std::uint32_t class_id) const;
+  // "-" for number 0, which stands for no server; "server N" if its name is not known.
+  std::string ServerName(std::uint32_t number) const;
+  // Null if there is no record of this server.
   const wire::Server* Server(std::uint32_t number) const;
 
-  // A count of Window.ended or Window.attempts, taken apart.
+  // The parts of a key in Window.ended or Window.attempts.
   struct Key {
     std::uint32_t server = 0;
     std::uint32_t class_id = 0;
-    std::uint32_t what = 0;  // an Ending or an Outcome
+    std::uint32_t what = 0;  // an Ending (Window.ended) or an Outcome (Window.attempts)
   };
   Key Split(std::uint64_t key) const;
 
--- a/src/record/folder.cpp
+++ b/src/record/folder.cpp
@@ -17,7 +17,7 @@
 
 namespace fs = std::filesystem;
 
-constexpr std::size_t kChunk = 1 << 20;
+constexpr std::size_t kReadBytes = 1 << 20;
 
 }  // namespace
 
@@ -27,9 +27,9 @@
     const fs::file_status status = fs::status(path, error);
     if (!fs::exists(status)) throw std::runtime_error(path + ": there is no such folder");
     if (fs::is_regular_file(status)) {
-      if (!ReadSegmentName(path)) {
+      if (!ParseSegmentName(path)) {
         throw std::runtime_error(path + ": expected a folder of records, or a segment NAME.START.NUMBER" +
-                                 std::string(kSuffix));
+                                 std::string(kSegmentSuffix));
       }
       if (::access(path.c_str(), R_OK) != 0) throw std::runtime_error(path + ": " + std::strerror(errno));
     } else if (fs::is_directory(status)) {
@@ -41,10 +41,10 @@
   }
 }
 
-void FolderReader::List() {
+void FolderReader::FindSegments() {
   const auto add = [this](const std::string& path) {
-    const auto name = ReadSegmentName(path);
-    if (name) files_.try_emplace(*name, Open{*name, 0, std::make_unique<SegmentReader>(path), false});
+    const auto name = ParseSegmentName(path);
+    if (name) segments_.try_emplace(*name, Segment{*name, 0, std::make_unique<SegmentReader>(path), false});
   };
   for (const std::string& path : paths_) {
     std::error_code error;
@@ -59,74 +59,75 @@
 }
 
 std::size_t FolderReader::Poll(Sink& sink) {
-  List();
-  for (auto place = files_.begin(); place != files_.end(); ++place) {
-    Open& file = place->second;
-    if (file.finished) continue;
-    const auto key = std::pair(file.name.prefix, file.name.incarnation);
-    if (file.read == 0) {
-      const auto before = last_.find(key);
-      if (before != last_.end() && file.name.segment > before->second + 1) {
-        sink.OnTrouble({file.name.path, 0,
-                        std::to_string(file.name.segment - before->second - 1) +
+  FindSegments();
+  for (auto entry = segments_.begin(); entry != segments_.end(); ++entry) {
+    Segment& segment = entry->second;
+    if (segment.is_finished) continue;
+    const auto key = std::pair(segment.name.prefix, segment.name.incarnation);
+    if (segment.bytes_read == 0) {
+      const auto previous = last_numbers_.find(key);
+      if (previous != last_numbers_.end() && segment.name.segment > previous->second + 1) {
+        sink.OnTrouble({segment.name.path, 0,
+                        std::to_string(segment.name.segment - previous->second - 1) +
                             " segments are missing before this one, from number " +
-                            std::to_string(before->second + 1) + " on"});
+                            std::to_string(previous->second + 1) + " on"});
       }
-      std::uint32_t& last = last_[key];
-      last = std::max(last, file.name.segment);
+      std::uint32_t& last_number = last_numbers_[key];
+      last_number = std::max(last_number, segment.name.segment);
     }
-    ReadOn(file, sink);
-    // A segment with a successor grows no more: what is half there stays so.
-    const auto next = std::next(place);
-    if (next != files_.end() && next->second.name.prefix == file.name.prefix &&
-        next->second.name.incarnation == file.name.incarnation && !file.finished) {
-      Drain(file, sink, true);
-      file.finished = true;
-      file.reader.reset();
+    ReadNewBytes(segment, sink);
+    // A segment with a successor no longer grows, so an incomplete record at its end stays incomplete.
+    const auto next = std::next(entry);
+    if (next != segments_.end() && next->second.name.prefix == segment.name.prefix &&
+        next->second.name.incarnation == segment.name.incarnation && !segment.is_finished) {
+      DeliverRecords(segment, sink, true);
+      segment.is_finished = true;
+      segment.reader.reset();
     }
   }
-  return files_.size();
+  return segments_.size();
 }
 
-void FolderReader::ReadOn(Open& file, Sink& sink) {
-  const net::Fd fd(::open(file.name.path.c_str(), O_RDONLY | O_CLOEXEC));
+void FolderReader::ReadNewBytes(Segment& segment, Sink& sink) {
+  const net::Fd fd(::open(segment.name.path.c_str(), O_RDONLY | O_CLOEXEC));
   if (!fd) {
-    // Rotated away between the listing and now is no trouble, only gone.
-    if (errno != ENOENT) sink.OnTrouble({file.name.path, file.read, std::strerror(errno)});
-    file.finished = true;
+    // A segment that was deleted by rotation since the listing is not reported as a trouble.
+    if (errno != ENOENT) sink.OnTrouble({segment.name.path, segment.bytes_read, std::strerror(errno)});
+    segment.is_finished = true;
     return;
   }
-  std::string block(kChunk, '\0');
+  std::string buffer(kReadBytes, '\0');
   while (true) {
-    const ssize_t count = ::pread(fd.Get(), block.data(), block.size(), static_cast<off_t>(file.read));
+    const ssize_t count =
+        ::pread(fd.Get(), buffer.data(), buffer.size(), static_cast<off_t>(segment.bytes_read));
     if (count < 0 && errno == EINTR) continue;
-    if (count < 0) sink.OnTrouble({file.name.path, file.read, std::strerror(errno)});
+    if (count < 0) sink.OnTrouble({segment.name.path, segment.bytes_read, std::strerror(errno)});
     if (count <= 0) return;
-    file.read += static_cast<std::uint64_t>(count);
+    segment.bytes_read += static_cast<std::uint64_t>(count);
     bytes_ += static_cast<std::uint64_t>(count);
-    file.reader->Feed(std::string_view(block).substr(0, static_cast<std::size_t>(count)));
-    Drain(file, sink, false);
+    segment.reader->Feed(std::string_view(buffer).substr(0, static_cast<std::size_t>(count)));
+    DeliverRecords(segment, sink, false);
   }
 }
 
-void FolderReader::Drain(Open& file, Sink& sink, bool end) {
-  SegmentReader& reader = *file.reader;
+void FolderReader::DeliverRecords(Segment& segment, Sink& sink, bool is_at_end) {
+  SegmentReader& reader = *segment.reader;
   while (true) {
-    const auto state = end ? reader.End() : reader.Next();
+    const auto state = is_at_end ? reader.End() : reader.Next();
     if (state == SegmentReader::State::kMore) return;
     if (state == SegmentReader::State::kTrouble) {
       sink.OnTrouble(reader.Problem());
     } else {
-      sink.OnRecord(file.name, reader.At(), reader.Record());
+      sink.OnRecord(segment.name, reader.At(), reader.Record());
     }
   }
 }
 
 void FolderReader::Finish(Sink& sink) {
-  for (auto& [name, file] : files_) {
-    if (std::exchange(file.finished, true)) continue;
-    Drain(file, sink, true);
-    file.reader.reset();
+  for (auto& [name, segment] : segments_) {
+    if (std::exchange(segment.is_finished, true)) continue;
+    DeliverRecords(segment, sink, true);
+    segment.reader.reset();
   }
 }
 
--- a/src/record/folder.hpp
+++ b/src/record/folder.hpp
@@ -1,4 +1,5 @@
-// The I/O behind reader.hpp: folders of segments, followed while their writers go on and after they died.
+// Reads folders of segments from disk (reader.hpp decodes them), also while their writers still append to
+// them.
 #pragma once
 
 #include <map>
@@ -10,31 +11,33 @@
 
 namespace tinspan::record {
 
-// Folders of segments, or single segments, followed as they grow.
+// Reads folders of segments, or single segments, and follows them as they grow. Not thread-safe.
 class FolderReader {
  public:
-  // Throws std::runtime_error naming a path that is neither a folder nor a file that can be read.
+  // Throws std::runtime_error naming the path if one is neither a folder nor a readable segment.
   explicit FolderReader(std::vector<std::string> paths);
-  // Reads all that has been written since the last call. How many segments there are.
+  // Reads everything written since the last call. Returns the number of segments known so far.
   std::size_t Poll(Sink& sink);
-  // Nothing more will come: what is half there is told as damage.
+  // Ends the reading: an incomplete last record is reported as damage.
   void Finish(Sink& sink);
-  std::uint64_t Bytes() const { return bytes_; }
+  std::uint64_t Bytes() const { return bytes_; }  // read so far
 
  private:
-  struct Open {
+  struct Segment {
     SegmentName name;
-    std::uint64_t read = 0;
+    std::uint64_t bytes_read = 0;
     std::unique_ptr<SegmentReader> reader;
-    bool finished = false;
+    bool is_finished = false;
   };
-  void List();
-  void ReadOn(Open& file, Sink& sink);
-  static void Drain(Open& file, Sink& sink, bool end);
+  void FindSegments();
+  void ReadNewBytes(Segment& segment, Sink& sink);
+  // Passes on what the segment's reader has decoded. `is_at_end`: no more bytes follow.
+  static void DeliverRecords(Segment& segment, Sink& sink, bool is_at_end);
 
   std::vector<std::string> paths_;
-  std::map<SegmentName, Open> files_;
-  std::map<std::pair<std::string, std::int64_t>, std::uint32_t> last_;  // segment begun, by incarnation
+  std::map<SegmentName, Segment> segments_;
+  std::map<std::pair<std::string, std::int64_t>, std::uint32_t>
+      last_numbers_;  // of the segments read, by incarnation
   std::uint64_t bytes_ = 0;
 };
 
--- a/src/record/frame.cpp
+++ b/src/record/frame.cpp
@@ -7,17 +7,21 @@
 namespace tinspan::record {
 namespace {
 
-constexpr std::size_t kDoubt = 64 << 10;
+// An incomplete frame with at least this many bytes behind its start may have a damaged length, so the search
+// for a valid frame starts although the frame might still become complete.
+constexpr std::size_t kMaxTrustedIncomplete = 64 << 10;
+// Processed bytes are removed from the buffer once there are more than this.
+constexpr std::size_t kCompactThreshold = 64 << 10;
 
-void PutLittle(std::string& out, std::uint64_t value, int bytes) {
+void AppendLittleEndian(std::string& out, std::uint64_t value, int bytes) {
   for (int i = 0; i < bytes; ++i) out += static_cast<char>(value >> (8 * i) & 255);
 }
-std::uint64_t GetLittle(const char* at, int bytes) {
+std::uint64_t ReadLittleEndian(const char* data, int bytes) {
   std::uint64_t value = 0;
-  for (int i = bytes - 1; i >= 0; --i) value = value << 8 | static_cast<unsigned char>(at[i]);
+  for (int i = bytes - 1; i >= 0; --i) value = value << 8 | static_cast<unsigned char>(data[i]);
   return value;
 }
-// The length seeds the digest, so that one that was changed is seen as well.
+// The length seeds the digest, so that a changed length is detected as well.
 std::uint64_t Digest(std::string_view message) {
   return XXH3_64bits_withSeed(message.data(), message.size(), message.size() + 1);
 }
@@ -25,83 +29,84 @@
 }  // namespace
 
 void AppendFrame(std::string& out, std::string_view message) {
-  PutLittle(out, message.size(), 4);
-  PutLittle(out, Digest(message), 8);
+  AppendLittleEndian(out, message.size(), 4);
+  AppendLittleEndian(out, Digest(message), 8);
   out.append(message);
 }
 
-std::size_t FrameSize(std::string_view bytes) { return kFrameHead + GetLittle(bytes.data(), 4); }
+std::size_t FrameSize(std::string_view bytes) { return kFrameHeaderSize + ReadLittleEndian(bytes.data(), 4); }
 
 void FrameReader::Feed(std::string_view bytes) {
-  if (at_ > (64 << 10)) {
-    buffer_.erase(0, at_);
-    base_ += at_;
-    probe_ -= std::min(probe_, at_);
-    at_ = 0;
+  if (position_ > kCompactThreshold) {
+    buffer_.erase(0, position_);
+    buffer_offset_ += position_;
+    scan_position_ -= std::min(scan_position_, position_);
+    position_ = 0;
   }
   buffer_.append(bytes);
 }
 
-std::size_t FrameReader::FrameAt(std::size_t at) const {
-  const std::size_t left = buffer_.size() - at;
-  if (left < kFrameHead) return kPartial;
-  const std::size_t length = GetLittle(buffer_.data() + at, 4);
-  if (length == 0 || length > kMostMessage) return 0;
-  if (left < kFrameHead + length) return kPartial;
-  const std::string_view message = std::string_view(buffer_).substr(at + kFrameHead, length);
-  return GetLittle(buffer_.data() + at + 4, 8) == Digest(message) ? kFrameHead + length : 0;
+std::size_t FrameReader::ValidFrameSize(std::size_t position) const {
+  const std::size_t available = buffer_.size() - position;
+  if (available < kFrameHeaderSize) return kIncomplete;
+  const std::size_t length = ReadLittleEndian(buffer_.data() + position, 4);
+  if (length == 0 || length > kMaxMessageSize) return 0;
+  if (available < kFrameHeaderSize + length) return kIncomplete;
+  const std::string_view message = std::string_view(buffer_).substr(position + kFrameHeaderSize, length);
+  return ReadLittleEndian(buffer_.data() + position + 4, 8) == Digest(message) ? kFrameHeaderSize + length
+                                                                               : 0;
 }
 
-FrameReader::State FrameReader::Damaged(std::size_t until) {
-  damage_at_ = base_ + at_;
-  damage_size_ = until - at_;
-  at_ = probe_ = until;
-  lost_ = false;
+FrameReader::State FrameReader::ReportDamage(std::size_t end) {
+  damage_offset_ = buffer_offset_ + position_;
+  damage_size_ = end - position_;
+  position_ = scan_position_ = end;
+  is_scanning_ = false;
   return State::kDamage;
 }
 
 FrameReader::State FrameReader::Next() {
-  if (!started_) {
-    const std::string_view begin = std::string_view(buffer_).substr(0, kMagic.size());
-    if (begin != kMagic.substr(0, begin.size())) return State::kForeign;
-    if (begin.size() < kMagic.size()) return State::kMore;
-    started_ = true;
-    at_ = kMagic.size();
+  if (!has_magic_) {
+    const std::string_view start = std::string_view(buffer_).substr(0, kMagic.size());
+    if (start != kMagic.substr(0, start.size())) return State::kForeign;
+    if (start.size() < kMagic.size()) return State::kMore;
+    has_magic_ = true;
+    position_ = kMagic.size();
   }
-  if (!lost_) {
-    const std::size_t size = FrameAt(at_);
-    if (size == kPartial) {
-      const std::size_t left = buffer_.size() - at_;
-      // So much behind it that a length which claims more is doubted: what follows is looked through.
-      if (left == 0 || (!ended_ && left < kDoubt)) return State::kMore;
+  if (!is_scanning_) {
+    const std::size_t size = ValidFrameSize(position_);
+    if (size == kIncomplete) {
+      const std::size_t available = buffer_.size() - position_;
+      if (available == 0 || (!is_at_end_ && available < kMaxTrustedIncomplete)) return State::kMore;
     } else if (size > 0) {
-      message_ = std::string_view(buffer_).substr(at_ + kFrameHead, size - kFrameHead);
-      message_at_ = base_ + at_;
-      at_ += size;
+      message_ = std::string_view(buffer_).substr(position_ + kFrameHeaderSize, size - kFrameHeaderSize);
+      message_offset_ = buffer_offset_ + position_;
+      position_ += size;
       return State::kMessage;
     }
-    lost_ = true;
-    probe_ = size == kPartial && !ended_ ? at_ : at_ + 1;  // a doubted one may yet come whole
+    is_scanning_ = true;
+    // A frame that is incomplete may still become complete.
+    scan_position_ = size == kIncomplete && !is_at_end_ ? position_ : position_ + 1;
   }
-  // A place whose frame is not all there yet stays in question while the file grows; one that holds behind it
-  // settles it.
-  std::size_t open = buffer_.size();
-  for (std::size_t at = probe_; at < buffer_.size(); ++at) {
-    const std::size_t size = FrameAt(at);
-    if (size == kPartial) {
-      open = std::min(open, at);
+  // A position with an incomplete frame is examined again when the file has grown, unless a valid frame is
+  // found behind it.
+  std::size_t first_incomplete = buffer_.size();
+  for (std::size_t position = scan_position_; position < buffer_.size(); ++position) {
+    const std::size_t size = ValidFrameSize(position);
+    if (size == kIncomplete) {
+      first_incomplete = std::min(first_incomplete, position);
     } else if (size > 0) {
-      if (at > at_) return Damaged(at);
-      lost_ = false;
+      if (position > position_) return ReportDamage(position);
+      is_scanning_ = false;
       return Next();
     }
   }
-  probe_ = open;
-  return ended_ ? Damaged(buffer_.size()) : State::kMore;
+  scan_position_ = first_incomplete;
+  return is_at_end_ ? ReportDamage(buffer_.size()) : State::kMore;
 }
 
 FrameReader::State FrameReader::End() {
-  ended_ = true;
+  is_at_end_ = true;
   return Next();
 }
 
--- a/src/record/json.cpp
+++ b/src/record/json.cpp
@@ -16,40 +16,45 @@
 
 double Millis(std::int64_t micros) { return static_cast<double>(micros) / 1000; }
 
-Json Counts(const Book& book, const google::protobuf::RepeatedField<std::uint64_t>& counts, bool requests) {
+// `counts` holds Window.ended if `is_requests`, else Window.attempts.
+Json CountsToJson(const Book& book, const google::protobuf::RepeatedField<std::uint64_t>& counts,
+                  bool is_requests) {
   Json out = Json::array();
   for (int i = 0; i + 1 < counts.size(); i += 2) {
     const Book::Key key = book.Split(counts.Get(i));
-    Json one{{"class", book.ClassName(key.class_id)}, {"server", book.ServerName(key.server)}};
-    if (requests) {
-      one["verdict"] = Name(static_cast<Ending>(key.what));
+    Json entry{{"class", book.ClassName(key.class_id)}, {"server", book.ServerName(key.server)}};
+    if (is_requests) {
+      entry["verdict"] = Name(static_cast<Ending>(key.what));
       const auto& classes = book.Header().classes();
       if (key.class_id < static_cast<std::uint32_t>(classes.size())) {
-        const wire::Class& of = classes.Get(static_cast<int>(key.class_id));
-        one["worth"] =
-            static_cast<double>(counts.Get(i + 1)) * of.worth() * Earned(static_cast<Ending>(key.what), of);
+        const wire::Class& class_settings = classes.Get(static_cast<int>(key.class_id));
+        entry["worth"] = static_cast<double>(counts.Get(i + 1)) * class_settings.worth() *
+                         Earned(static_cast<Ending>(key.what), class_settings);
       }
     } else {
-      one["outcome"] = Name(static_cast<Outcome>(key.what));
+      entry["outcome"] = Name(static_cast<Outcome>(key.what));
     }
-    one["count"] = counts.Get(i + 1);
-    out.push_back(std::move(one));
+    entry["count"] = counts.Get(i + 1);
+    out.push_back(std::move(entry));
   }
   return out;
 }
 
-Json Of(const Book&, const wire::Heartbeat& beat) {
-  return {{"wall", TimeText(Micros{beat.wall_us()})}, {"mono_us", beat.mono_us()}, {"open", beat.open()}};
+Json FieldsOf(const Book&, const wire::Heartbeat& heartbeat) {
+  return {{"wall", TimeText(Micros{heartbeat.wall_us()})},
+          {"mono_us", heartbeat.mono_us()},
+          {"open", heartbeat.open()}};
 }
-Json Of(const Book&, const wire::Life& life) {
+Json FieldsOf(const Book&, const wire::Life& life) {
   std::string what = wire::Life::What_Name(life.what());
-  std::transform(what.begin(), what.end(), what.begin(), [](unsigned char c) { return std::tolower(c); });
+  std::transform(what.begin(), what.end(), what.begin(),
+                 [](unsigned char character) { return std::tolower(character); });
   Json out{{"what", what}, {"open", life.open()}};
   if (life.signal() != 0) out["signal"] = life.signal();
   if (!life.text().empty()) out["text"] = life.text();
   return out;
 }
-Json Of(const Book& book, const wire::Server& server) {
+Json FieldsOf(const Book& book, const wire::Server& server) {
   Json out{{"number", server.number()},
            {"id", Hex(server.id())},
            {"name", server.name()},
@@ -62,30 +67,30 @@
   out["state"] = Name(static_cast<Availability>(server.state()));
   return out;
 }
-Json Of(const Book& book, const wire::Members& members) {
-  constexpr std::array kHow{"changes", "whole", "whole, perhaps old", "source lost"};
+Json FieldsOf(const Book& book, const wire::Members& members) {
+  constexpr std::array kListKinds{"changes", "whole", "whole, perhaps old", "source lost"};
   Json list = Json::array();
-  for (const wire::Member& one : members.members()) {
-    Json member{{"server", book.ServerName(one.server())},
-                {"state", Name(static_cast<Availability>(one.state()))},
-                {"weight", one.weight()}};
-    if (one.started_us() != 0) member["started"] = TimeText(Micros{one.started_us()});
+  for (const wire::Member& entry : members.members()) {
+    Json member{{"server", book.ServerName(entry.server())},
+                {"state", Name(static_cast<Availability>(entry.state()))},
+                {"weight", entry.weight()}};
+    if (entry.started_us() != 0) member["started"] = TimeText(Micros{entry.started_us()});
     list.push_back(std::move(member));
   }
   return {{"source", members.source()},
           {"version", members.version()},
-          {"list", members.kind() < kHow.size() ? kHow[members.kind()] : "unknown"},
+          {"list", members.kind() < kListKinds.size() ? kListKinds[members.kind()] : "unknown"},
           {"members", std::move(list)}};
 }
-Json Of(const Book&, const wire::Purge& purge) {
+Json FieldsOf(const Book&, const wire::Purge& purge) {
   Json out{{"made", TimeText(Micros{purge.made_us()})}};
   purge.object() != 0 ? out["object"] = Hex(purge.object()) : out["group"] = Hex(purge.group());
   return out;
 }
-Json Of(const Book& book, const wire::Window& window) {
-  Json came = Json::array(), latency = Json::array();
+Json FieldsOf(const Book& book, const wire::Window& window) {
+  Json received = Json::array(), latency = Json::array();
   for (int i = 0; i + 1 < window.came_size(); i += 2) {
-    came.push_back({{"class", book.ClassName(window.came(i))}, {"count", window.came(i + 1)}});
+    received.push_back({{"class", book.ClassName(window.came(i))}, {"count", window.came(i + 1)}});
   }
   for (int i = 0; i + 1 < window.latency_size(); i += 2) {
     latency.push_back({{"class", book.ClassName(window.latency(i) / 256)},
@@ -97,29 +102,30 @@
     repeats.push_back({{"class", book.ClassName(window.repeats(i))}, {"count", window.repeats(i + 1)}});
   }
   Json out{{"length_ms", Millis(window.length_us())},
-           {"came", std::move(came)},
-           {"ended", Counts(book, window.ended(), true)},
-           {"attempts", Counts(book, window.attempts(), false)}};
+           {"came", std::move(received)},
+           {"ended", CountsToJson(book, window.ended(), true)},
+           {"attempts", CountsToJson(book, window.attempts(), false)}};
   if (!repeats.empty()) out["repeats"] = std::move(repeats);
   if (!latency.empty()) out["latency"] = std::move(latency);
   return out;
 }
-Json Of(const Book& book, const wire::Trace& trace) {
-  constexpr std::array kNotes{"none",         "hit",           "filled",         "filled_via_origin",
-                              "joined",       "stale_hit",     "source_refused", "source_unreached",
-                              "source_lacks", "no_fill_place", "origin_failed"};
+Json FieldsOf(const Book& book, const wire::Trace& trace) {
+  constexpr std::array kFillNotes{"none",         "hit",           "filled",         "filled_via_origin",
+                                  "joined",       "stale_hit",     "source_refused", "source_unreached",
+                                  "source_lacks", "no_fill_place", "origin_failed"};
   Json attempts = Json::array();
-  for (const wire::Attempt& one : trace.attempts()) {
-    Json attempt{{"number", one.number()},
-                 {"server", book.ServerName(one.server())},
-                 {"sent_ms", Millis(one.sent_us())},
-                 {"took_ms", Millis(one.took_us())},
-                 {"outcome", Name(static_cast<Outcome>(one.outcome()))}};
-    if (one.source() != 0) attempt["source"] = book.ServerName(one.source());
-    if (one.note() != 0) attempt["note"] = one.note() < kNotes.size() ? kNotes[one.note()] : "unknown";
-    if (one.fill_wait_us() != 0) attempt["fill_wait_ms"] = Millis(one.fill_wait_us());
-    if (one.begun_us() != 0) attempt["begun_ms"] = Millis(one.begun_us());
-    if (one.keep() != 0) attempt["keep"] = one.keep();
+  for (const wire::Attempt& entry : trace.attempts()) {
+    Json attempt{{"number", entry.number()},
+                 {"server", book.ServerName(entry.server())},
+                 {"sent_ms", Millis(entry.sent_us())},
+                 {"took_ms", Millis(entry.took_us())},
+                 {"outcome", Name(static_cast<Outcome>(entry.outcome()))}};
+    if (entry.source() != 0) attempt["source"] = book.ServerName(entry.source());
+    if (entry.note() != 0)
+      attempt["note"] = entry.note() < kFillNotes.size() ? kFillNotes[entry.note()] : "unknown";
+    if (entry.fill_wait_us() != 0) attempt["fill_wait_ms"] = Millis(entry.fill_wait_us());
+    if (entry.begun_us() != 0) attempt["begun_ms"] = Millis(entry.begun_us());
+    if (entry.keep() != 0) attempt["keep"] = entry.keep();
     attempts.push_back(std::move(attempt));
   }
   Json out{{"request", trace.request()},
@@ -137,17 +143,17 @@
   out["attempts"] = std::move(attempts);
   return out;
 }
-Json Of(const Book& book, const wire::Lost& lost) {
+Json FieldsOf(const Book& book, const wire::Lost& lost) {
   return {
       {"server", book.ServerName(lost.server())}, {"connections", lost.connections()}, {"open", lost.open()}};
 }
-Json Of(const Book&, const wire::Header& header) {
+Json FieldsOf(const Book&, const wire::Header& header) {
   Json classes = Json::array();
-  for (const wire::Class& of : header.classes()) {
-    classes.push_back({{"name", of.name()},
-                       {"aim_ms", Millis(of.aim_us())},
-                       {"deadline_ms", Millis(of.deadline_us())},
-                       {"worth", of.worth()}});
+  for (const wire::Class& class_settings : header.classes()) {
+    classes.push_back({{"name", class_settings.name()},
+                       {"aim_ms", Millis(class_settings.aim_us())},
+                       {"deadline_ms", Millis(class_settings.deadline_us())},
+                       {"worth", class_settings.worth()}});
   }
   return {{"format", header.format()},         {"started", TimeText(Micros{header.incarnation()})},
           {"segment", header.segment()},       {"version", header.version()},
@@ -165,50 +171,50 @@
 }
 
 std::string_view KindOf(const wire::Record& record) {
-  const auto place = static_cast<std::size_t>(record.what_case());
-  // The oneof's numbers begin at 2, with the heartbeat.
-  return place >= 2 && place - 2 < kKinds.size() - 1 ? kKinds[place - 2] : kKinds.back();
+  const auto field_number = static_cast<std::size_t>(record.what_case());
+  // The field numbers of the oneof start at 2, with the heartbeat.
+  return field_number >= 2 && field_number - 2 < kKinds.size() - 1 ? kKinds[field_number - 2] : kKinds.back();
 }
 
 bool IsKind(std::string_view name) { return std::find(kKinds.begin(), kKinds.end(), name) != kKinds.end(); }
 
 Json ToJson(const Book& book, Micros at, const wire::Record& record) {
   Json out{{"time", TimeText(at)}, {"instance", book.Header().name()}, {"kind", KindOf(record)}};
-  const auto add = [&](const Json& more) { out.update(more); };
+  const auto add = [&](const Json& fields) { out.update(fields); };
   switch (record.what_case()) {
     case wire::Record::kHeartbeat:
-      add(Of(book, record.heartbeat()));
+      add(FieldsOf(book, record.heartbeat()));
       break;
     case wire::Record::kLife:
-      add(Of(book, record.life()));
+      add(FieldsOf(book, record.life()));
       break;
     case wire::Record::kServer:
-      add(Of(book, record.server()));
+      add(FieldsOf(book, record.server()));
       break;
     case wire::Record::kMembers:
-      add(Of(book, record.members()));
+      add(FieldsOf(book, record.members()));
       break;
     case wire::Record::kPurge:
-      add(Of(book, record.purge()));
+      add(FieldsOf(book, record.purge()));
       break;
     case wire::Record::kWindow:
-      add(Of(book, record.window()));
+      add(FieldsOf(book, record.window()));
       break;
     case wire::Record::kTrace:
-      add(Of(book, record.trace()));
+      add(FieldsOf(book, record.trace()));
       break;
     case wire::Record::kRouterLine:
       out["text"] = record.router_line();
       break;
     case wire::Record::kLost:
-      add(Of(book, record.lost()));
+      add(FieldsOf(book, record.lost()));
       break;
     case wire::Record::kGap:
       out["records"] = record.gap().records();
       out["bytes"] = record.gap().bytes();
       break;
     case wire::Record::kHeader:
-      add(Of(book, record.header()));
+      add(FieldsOf(book, record.header()));
       break;
     case wire::Record::kDrain:
       out["server"] = book.ServerName(record.drain().server());
--- a/src/record/reader.hpp
+++ b/src/record/reader.hpp
@@ -1,8 +1,9 @@
-// Reading what recorders wrote, also while they still write and after they died in the middle.
+// Reads the segments of flight recorders, also those that are still written or were cut off when their writer
+// died.
 //
-// Pure: bytes in, records out (folder.hpp reads files). Nothing is repaired silently: a torn tail, bytes that
-// were changed, a segment that is missing, a record or a format that is not known here are passed over as far
-// as needed, and each is told as a Trouble with its file and offset.
+// Pure: bytes in, records out (folder.hpp reads files). Nothing is repaired silently: an incomplete last
+// record, changed bytes, a missing segment and an unknown record or format are skipped as far as needed, and
+// each is reported as a Trouble with its file and offset.
 #pragma once
 
 #include <cstdint>
@@ -18,65 +19,71 @@
 
 namespace tinspan::record {
 
+// A part of the records that could not be read.
 struct Trouble {
   std::string file;
-  std::uint64_t offset = 0;
+  std::uint64_t offset = 0;  // in the file, in bytes
   std::string what;
 };
 
-// One segment, fed its bytes as they come. Pure.
+// Decodes the records of one segment from its bytes while they arrive. Pure; not thread-safe.
 class SegmentReader {
  public:
   explicit SegmentReader(std::string file) : file_(std::move(file)) {}
   enum class State { kRecord, kTrouble, kMore };
   void Feed(std::string_view bytes) { frames_.Feed(bytes); }
+  // kRecord: Record(), At() and Offset() hold the next record. kTrouble: Problem() holds the trouble. kMore:
+  // more bytes are needed.
   State Next();
-  // No more will come: call until it answers kMore.
+  // As Next, once there are no more bytes. Must be called until it returns kMore.
   State End();
 
   const wire::Record& Record() const { return record_; }
-  Micros At() const { return Micros{base_ + record_.at_us()}; }  // see Sink
-  std::uint64_t Offset() const { return offset_; }
+  Micros At() const { return Micros{segment_start_us_ + record_.at_us()}; }  // Unix time, see Sink
+  std::uint64_t Offset() const { return offset_; }                           // in the file, of its frame
   const Trouble& Problem() const { return trouble_; }
 
  private:
-  State Read(FrameReader::State state);
-  State Told(std::uint64_t offset, std::string what);
+  State Decode(FrameReader::State state);
+  State ReportTrouble(std::uint64_t offset, std::string what);
 
   std::string file_;
   FrameReader frames_;
   wire::Record record_;
-  std::optional<std::int64_t> header_;  // its wall clock
-  std::int64_t base_ = 0;
+  std::optional<std::int64_t> header_wall_us_;  // not set before the first header
+  std::int64_t segment_start_us_ = 0;           // Unix time
   std::uint64_t offset_ = 0;
-  bool foreign_ = false;
-  bool newer_told_ = false;
+  bool is_foreign_ = false;  // not a segment
+  bool has_reported_newer_format_ = false;
   Trouble trouble_;
 };
 
-// NAME.START.SEGMENT.tsrec; a name's characters that file names had better not hold become '_'.
-inline constexpr std::string_view kSuffix = ".tsrec";
+// A segment's file is named NAME.START.SEGMENT.tsrec; in NAME all but letters, digits and '-' become '_'.
+inline constexpr std::string_view kSegmentSuffix = ".tsrec";
+// NAME and its dot.
 std::string FilePrefix(std::string_view name);
 
-// What a segment's file name tells.
+// The parts of a segment's file name.
 struct SegmentName {
   std::string path;
-  std::string prefix;  // the instance, as file names write it
-  std::int64_t incarnation = 0;
+  std::string prefix;            // the instance's name, as in the file name
+  std::int64_t incarnation = 0;  // START: Unix time in microseconds
   std::uint32_t segment = 0;
-  auto operator<=>(const SegmentName& o) const {
+  auto operator<=>(const SegmentName& other) const {
     return std::tie(prefix, incarnation, segment, path) <=>
-           std::tie(o.prefix, o.incarnation, o.segment, o.path);
+           std::tie(other.prefix, other.incarnation, other.segment, other.path);
   }
-  bool operator==(const SegmentName& o) const { return path == o.path; }
+  bool operator==(const SegmentName& other) const { return path == other.path; }
 };
-std::optional<SegmentName> ReadSegmentName(const std::string& path);
+// Returns nothing if the file name is not that of a segment.
+std::optional<SegmentName> ParseSegmentName(const std::string& path);
 
+// Receives records and troubles.
 class Sink {
  public:
   virtual ~Sink() = default;
-  // Records of one incarnation come in the order in which they were written. `at`: Unix time as the writer's
-  // clock told it at the segment's head, carried on by one that never steps.
+  // The records of one incarnation arrive in the order in which they were written. `at` is Unix time: the
+  // wall clock of the writer at the start of the segment plus the time since then on its monotonic clock.
   virtual void OnRecord(const SegmentName& from, Micros at, const wire::Record& record) = 0;
   virtual void OnTrouble(const Trouble& trouble) = 0;
 };
--- a/src/record/recorder.hpp
+++ b/src/record/recorder.hpp
@@ -1,8 +1,8 @@
-// The flight recorder of a running instance: what the core is told, decides and does goes into segments in a
-// folder (record.proto, frame.hpp; docs/design/record.md).
+// The flight recorder of a running instance: writes what the core receives, decides and does into segments in
+// a folder (record.proto, frame.hpp; docs/design/record.md).
 //
-// Promises: it never stalls or fails a request; its memory is bounded; its files together never hold more
-// than the bound. A disk that fails turns it off, with one line in the log.
+// Guarantees: it never delays or fails a request; its memory is bounded; its files together never exceed the
+// size limit. When the disk fails, recording is suspended with one line in the log, and is tried again later.
 #pragma once
 
 #include <optional>
@@ -18,44 +18,46 @@
 namespace tinspan::record {
 
 struct RecorderOptions {
-  std::string folder;   // made if it is not there
-  std::string name;     // of the instance: the files of one name in a folder belong together
-  std::string version;  // of the program
-  std::string front;    // "platform" or "gateway"
-  std::uint64_t config = 0;
+  std::string folder;        // created if it does not exist
+  std::string name;          // of the instance; files of the same name in a folder count as one set
+  std::string version;       // of the program
+  std::string front;         // "platform" or "gateway"
+  std::uint64_t config = 0;  // a digest of the configuration
   std::vector<std::string> classes, zones, kinds;
   RotationRules rotation;
   TrackerRules tracker;
   std::uint64_t seed = 0;
 };
 
+// Not thread-safe: all calls come from the event loop's thread.
 class Recorder final : public core::Observer, public core::RecordFeed {
  public:
-  // Throws std::runtime_error where the folder cannot be had.
+  // Throws std::runtime_error if the folder cannot be created or read.
   Recorder(const Settings& settings, RecorderOptions options, core::ClockReading clocks);
   ~Recorder() override;
 
   void OnRound(core::ClockReading clocks, std::span<const core::Event> events, const core::Commands& commands,
-               std::size_t open) override;
-  void OnLifecycleEvent(core::ClockReading clocks, core::LifecycleEvent what, int signal,
-                        std::string_view text, std::size_t open) override;
+               std::size_t open_requests) override;
+  void OnLifecycleEvent(core::ClockReading clocks, core::LifecycleEvent event, int signal,
+                        std::string_view text, std::size_t open_requests) override;
   Micros MaxWait(Micros now) const override;
 
-  // Of the open segment, the last 1 MB at most, as a segment's bytes.
+  // Returns the records of the open segment as the bytes of a segment; if there are more than 2 MB of them,
+  // only the last 1 to 2 MB.
   std::string Since(std::uint64_t& offset) const override;
 
-  // False also while a disk that failed is left alone.
-  bool IsOn() const { return !off_ && !resume_at_; }
-  std::uint64_t Lost() const { return lost_; }  // records that were dropped
+  // False while recording is suspended after a disk failure, and once it is turned off.
+  bool IsOn() const { return !is_off_ && !resume_at_; }
+  std::uint64_t DroppedRecords() const { return dropped_records_; }
 
  private:
-  void Take(core::ClockReading clocks);  // what is in records_
+  void EncodeRecords(core::ClockReading clocks);
   void Encode(core::ClockReading clocks, wire::Record& record);
   void OpenSegment(core::ClockReading clocks);
-  void HandOver();
-  void Keep(std::string_view frames);
-  void Suspend(const std::string& why);
-  void TurnOff(const std::string& why);
+  void HandToWriter();
+  void AppendRecent(std::string_view frames);
+  void Suspend(const std::string& reason);
+  void TurnOff(const std::string& reason);
 
   const RecorderOptions options_;
   const Settings settings_;
@@ -63,19 +65,19 @@
   Tracker tracker_;
   Rotation rotation_;
   Writer writer_;
-  std::uint32_t segment_ = 0;
-  Micros base_{0};  // of the open segment, by the clock that never steps
-  std::vector<wire::Record> records_;
-  Writer::Order order_;
-  std::string scratch_;
-  Micros handed_{0};               // mono
-  std::string recent_;             // frames
-  std::uint64_t recent_from_ = 1;  // offset of its first byte
-  std::string first_;              // the open segment's header, as a frame
-  wire::Gap gap_;
-  std::uint64_t lost_ = 0;
-  bool off_ = false;                 // until the next start
-  std::optional<Micros> resume_at_;  // the disk failed: until then nothing is written
+  std::uint32_t segment_number_ = 0;
+  Micros segment_started_at_{0};       // monotonic, of the open segment
+  std::vector<wire::Record> records_;  // not yet encoded
+  Writer::Batch batch_;                // encoded and not yet handed to the writer
+  std::string encode_buffer_;
+  Micros handed_over_at_{0};         // monotonic
+  std::string recent_frames_;        // the latest frames of the open segment, for Since
+  std::uint64_t recent_offset_ = 1;  // offset of the first byte of recent_frames_
+  std::string header_frame_;         // of the open segment
+  wire::Gap gap_;                    // dropped records for which no Gap record is written yet
+  std::uint64_t dropped_records_ = 0;
+  bool is_off_ = false;              // until the next start of the program
+  std::optional<Micros> resume_at_;  // set after a disk failure: nothing is written before this time
   Micros resume_delay_{0};
 };
 
--- a/src/record/tracker.hpp
+++ b/src/record/tracker.hpp
@@ -1,10 +1,10 @@
-// From what the core was told and what it ordered to what a flight recorder writes down. Pure: clocks and the
-// random seed are passed in, records come out in the order of the rounds.
+// Turns the core's events and commands into the records of a flight recorder. Pure: clocks and the random
+// seed are passed in; records are appended in the order of the rounds.
 //
-// Promises: each request that came is counted once in `came` and once in `ended`, with one verdict; each
-// attempt that was ordered out is counted once in `attempts`; worth in time follows from these counts exactly
-// (record.proto, Window). Memory is bounded by the requests that the core holds open and by the servers that
-// are listed.
+// Guarantees: each received request is counted once in `came` and once in `ended`, with one verdict; each
+// attempt that was ordered is counted once in `attempts`; the worth earned follows exactly from these counts
+// (record.proto, Window). Memory is bounded by the number of requests that the core holds open and by the
+// number of listed servers.
 #pragma once
 
 #include <array>
@@ -23,100 +23,107 @@
 
 namespace tinspan::record {
 
-// How a request ended, as counted and traced. Those up to kLateStale earned something.
+// How a request ended: its verdict in counts and traces. Verdicts up to kLateStale can earn worth.
 enum class Ending : std::uint32_t {
   kInTime,
-  kStale,  // in time, by a copy past its fresh time
-  kLate,   // after the class's aim
-  kLateStale,
-  kBroken,  // begun and not finished
+  kStale,      // in time, served from a copy past its freshness lifetime
+  kLate,       // after the latency objective of its class
+  kLateStale,  // both
+  kBroken,     // the response started and was not completed
   kRefused,
   kFailed,
-  kOverdue,  // refused or failed since its time was up
-  kLeft      // its client went away first
+  kOverdue,  // refused or failed because its deadline had passed
+  kLeft      // the client disconnected before the response was complete
 };
 inline constexpr std::uint32_t kEndings = 9;
+// The names used in JSON and reports; "unknown" for a value that is out of range.
 const char* Name(Ending ending);
 const char* Name(Outcome outcome);
 const char* Name(Availability availability);
-// The share of a request's worth that an ending earns in its class.
+// The share, 0 to 1, of a request's worth that a verdict earns in class `of`.
 double Earned(Ending ending, const wire::Class& of);
 
-// Latency buckets: 8 to each doubling from 64 us on; the last, 255, holds all above.
+// The index of a latency's histogram bucket: 8 buckets per doubling from 64 us on; the last, 255, has no
+// upper limit.
 std::uint32_t LatencyBucket(Micros latency);
-Micros LatencyOf(std::uint32_t bucket);  // the lower edge
+// The lower edge of a bucket.
+Micros LatencyOf(std::uint32_t bucket);
 
 struct TrackerRules {
-  std::uint32_t sample_ppm = 10'000;
-  Micros window{100'000};
-  Micros second{1'000'000};
+  std::uint32_t sample_ppm = 10'000;     // share of the requests without a fault that are traced
+  Micros window_length{100'000};         // how long counts are summed up before they are written
+  Micros heartbeat_interval{1'000'000};  // also of latency counts and lost connections
 };
 
+// Not thread-safe.
 class Tracker {
  public:
   Tracker(const Settings& settings, TrackerRules rules, std::uint64_t seed);
 
-  // One round of the loop: what the core was handed and what came back, at the wall clock and at the
-  // core's, which never steps. Appends records to `out`; their `at_us` is the latter, still to be set off.
-  void Round(UnixTime wall, Micros mono, std::span<const core::Event> events, const core::Commands& commands,
-             std::size_t open, std::vector<wire::Record>& out);
-  // Whatever is counted so far, before the end or a new segment.
+  // Records one round of the event loop: the events passed to the core and the commands it returned. `wall`
+  // is Unix time, `mono` the core's clock, which never steps. Appends to `out`; `at_us` of the appended
+  // records is a time of that clock, from which the caller still has to subtract the segment's start.
+  void RecordRound(UnixTime wall, Micros mono, std::span<const core::Event> events,
+                   const core::Commands& commands, std::size_t open_requests, std::vector<wire::Record>& out);
+  // Writes the counts of the open window, to be called before the recording ends.
   void Flush(Micros mono, std::vector<wire::Record>& out);
-  // When Round wants to be called again though nothing happens, by the clock that never steps.
-  Micros NextDue() const;
-  // The servers that have a number, as a segment restates them.
-  void Restate(std::vector<wire::Record>& out) const;
+  // When RecordRound must be called again even without events, on the monotonic clock.
+  Micros NextDueAt() const;
+  // Appends one Server record for each tracked server, in the order of their numbers. A segment begins with
+  // them.
+  void AppendServers(std::vector<wire::Record>& out) const;
 
-  std::size_t Watched() const { return requests_.size(); }
+  std::size_t TrackedRequests() const { return requests_.size(); }
 
  private:
+  // All times are on the monotonic clock unless stated otherwise.
   struct Attempt {
     std::uint32_t number = 0;
-    ServerId id{};
-    std::uint32_t server = 0;  // the number that it was given
+    ServerId server_id{};
+    std::uint32_t server_number = 0;  // TrackedServer::number
     ServerId source_id{};
-    std::uint32_t source = 0;  // 0: no fill
-    Micros sent{0};            // mono, like all here but where said
+    std::uint32_t source_number = 0;  // 0: no fill
+    Micros sent_at{0};
     Micros expires_at{0};
-    std::optional<Micros> issued_at;  // when the origin gave out the copy
-    bool served = false;              // its answer is here; whether the core passes it on is not known yet
-    std::optional<Micros> ended;
-    std::optional<Micros> begun;
+    std::optional<Micros> issued_at;       // when the origin issued the copy
+    bool is_response_unconfirmed = false;  // complete, but the core has not yet decided to forward it
+    std::optional<Micros> ended_at;
+    std::optional<Micros> response_started_at;
     Outcome outcome = Outcome::kServed;
     FillNote note = FillNote::kNone;
     Micros fill_wait{0};
-    std::uint32_t keep = 0;
-    std::uint32_t how = 0;
+    std::uint32_t cache_rank = 0;
+    std::uint32_t fill_flags = 0;  // wire::Attempt.how
   };
   struct Request {
-    core::RequestReceived came;
-    Micros at{0};
+    core::RequestReceived received;
+    Micros received_at{0};
     std::optional<Ending> ending;
-    Micros answered{0};
+    Micros ended_at{0};
     std::uint32_t retry_after_ms = 0;
-    bool overdue = false;
+    bool is_deadline_exceeded = false;
     std::vector<Attempt> attempts;
   };
-  struct Known {
+  struct TrackedServer {
     std::uint32_t number = 0;
     ServerId id{};
     std::string name, address;
     std::uint32_t zone = 0, kind = 0;
-    Availability state = Availability::kUp;
-    std::uint32_t out = 0;  // attempts
-    Micros changed{0};
-    bool leaving = false;  // told to be draining or gone, and its Drain is still to be written
-    Micros told{0};        // first
-    std::uint32_t sent = 0;
-    Micros last_sent{0};
+    Availability availability = Availability::kUp;
+    std::uint32_t open_attempts = 0;
+    Micros changed_at{0};         // the last update of its availability
+    bool is_drain_open = false;   // reported as draining or gone, and its Drain record is not yet written
+    Micros drain_reported_at{0};  // the first such report
+    std::uint32_t sent_since_drain = 0;
+    Micros last_sent_at{0};
   };
-  struct Purge {
-    Micros made{0};
-    Micros told{0};
-    std::uint32_t served = 0;
-    Micros last_sent{0}, last_served{0};
+  struct TrackedPurge {
+    Micros purged_at{0};
+    Micros received_at{0};
+    std::uint32_t outdated_responses = 0;  // served from copies issued before the purge
+    Micros last_sent_at{0}, last_served_at{0};
   };
-  using PurgeKey = std::pair<std::uint64_t, std::uint64_t>;  // group, or 0 and the object
+  using PurgeKey = std::pair<std::uint64_t, std::uint64_t>;  // group and 0, or 0 and the object
 
   void On(const core::RequestReceived& event);
   void On(const core::ClientDisconnected& event);
@@ -132,53 +139,56 @@
   void On(const core::CompleteRequest& command);
   void On(const core::LogMessage& command);
 
-  wire::Record& Put();
-  Request* Find(RequestId id);
-  static Attempt* Find(Request& request, std::uint32_t number);
-  Known& Number(ServerId id, bool& fresh);
-  Known& Server(ServerId id);  // as above; a fresh one is written
-  std::uint64_t Key(std::uint32_t server, ClassId of, std::uint32_t what) const;
-  void WriteServer(const Known& known, wire::Server& out) const;
+  wire::Record& AppendRecord();
+  Request* FindRequest(RequestId id);
+  static Attempt* FindAttempt(Request& request, std::uint32_t number);
+  TrackedServer& FindOrAddServer(ServerId id, bool& is_new);
+  // As FindOrAddServer, and appends a Server record for a new one.
+  TrackedServer& FindOrRecordServer(ServerId id);
+  // The key of a count in Window.ended (`what`: an Ending) or Window.attempts (`what`: an Outcome).
+  std::uint64_t CountKey(std::uint32_t server_number, ClassId of, std::uint32_t what) const;
+  void EncodeServer(const TrackedServer& server, wire::Server& out) const;
   void EndAttempt(Request& request, Attempt& attempt, Outcome outcome);
-  void End(Request& request, Ending ending, std::uint32_t server);
-  void Settle(RequestId id);
-  void Trace(RequestId id, const Request& request, bool sampled);
-  void Count();
-  void Went(const Attempt& attempt);
-  void Old(const Request& request, const Attempt& attempt);
-  void Leave(Known& known, Availability state);
-  void WriteDrain(Known& known);
+  void EndRequest(Request& request, Ending ending, std::uint32_t server_number);
+  void FinishRequest(RequestId id);
+  void RecordTrace(RequestId id, const Request& request, bool is_sampled);
+  // Starts the window of counts unless one is open.
+  void StartWindow();
+  void RecordSend(const Attempt& attempt);
+  void RecordOutdatedCopy(const Request& request, const Attempt& attempt);
+  void UpdateAvailability(TrackedServer& server, Availability availability);
+  void RecordDrain(TrackedServer& server);
   void CloseWindow();
-  void Second(std::size_t open);
+  void RecordSecond(std::size_t open_requests);
 
   const Settings settings_;
   const TrackerRules rules_;
   std::mt19937_64 random_;
-  std::vector<wire::Record>* out_ = nullptr;
+  std::vector<wire::Record>* output_ = nullptr;  // only while a public function runs
   UnixTime wall_{};
-  Micros now_{0};  // by the clock that never steps
+  Micros now_{0};  // monotonic
   std::unordered_map<RequestId, Request> requests_;
-  std::vector<RequestId> touched_;  // in this round: may be over
-  std::unordered_map<ServerId, Known> servers_;
-  std::uint32_t last_number_ = 0;
-  std::size_t leaving_ = 0;
-  std::map<PurgeKey, Purge> purges_;  // told lately
+  std::vector<RequestId> touched_requests_;  // looked up in this round, so they may have ended
+  std::unordered_map<ServerId, TrackedServer> servers_;
+  std::uint32_t last_server_number_ = 0;
+  std::size_t open_drains_ = 0;
+  std::map<PurgeKey, TrackedPurge> purges_;  // received within the retention time
 
-  // The window at hand. Ordered, so that the same course gives the same bytes.
-  bool counted_ = false;
-  Micros window_from_{0};
-  std::map<std::uint32_t, std::uint32_t> came_;
-  std::map<std::uint32_t, std::uint32_t> repeats_;
-  std::map<std::uint64_t, std::uint32_t> ended_;
-  std::map<std::uint64_t, std::uint32_t> attempts_;
-  std::map<std::uint32_t, std::uint32_t> latency_;
-  Micros next_second_{0};     // mono
-  bool second_over_ = false;  // the next window carries the latencies
-  struct Losses {
+  // Counts of the current window. The maps are ordered so that equal input gives equal bytes.
+  bool is_window_open_ = false;
+  Micros window_started_at_{0};
+  std::map<std::uint32_t, std::uint32_t> received_counts_;
+  std::map<std::uint32_t, std::uint32_t> repeat_counts_;
+  std::map<std::uint64_t, std::uint32_t> ended_counts_;
+  std::map<std::uint64_t, std::uint32_t> attempt_counts_;
+  std::map<std::uint32_t, std::uint32_t> latency_counts_;
+  Micros next_second_at_{0};
+  bool is_latency_due_ = false;  // the next window carries the latency counts
+  struct ConnectionLosses {
     std::uint32_t connections = 0;
-    std::uint32_t open = 0;
+    std::uint32_t open_requests = 0;
   };
-  std::map<std::uint32_t, Losses> lost_;
+  std::map<std::uint32_t, ConnectionLosses> connection_losses_;
 };
 
 }  // namespace tinspan::record
--- a/src/record/writer.cpp
+++ b/src/record/writer.cpp
@@ -16,108 +16,109 @@
 namespace tinspan::record {
 namespace {
 
-constexpr Micros kLastWait{500'000};
+constexpr Micros kFinalWaitTimeout{500'000};
 
 }  // namespace
 
 struct Writer::State {
-  std::mutex lock;
+  std::mutex mutex;
   std::condition_variable work, idle;
-  std::vector<Order> orders;
-  std::size_t waiting = 0;
-  bool busy = false;
-  bool end = false;
+  std::vector<Batch> queue;
+  std::size_t pending_bytes = 0;
+  bool is_writing = false;
+  bool is_ending = false;
   std::string failure;
 
-  // The thread's alone.
+  // Used by the thread only.
   net::Fd fd;
-  bool is_segment_broken = false;  // nothing more goes into it: what follows a hole cannot be read
+  bool is_segment_broken = false;  // nothing more is written to it: records behind a hole cannot be read
 
-  std::string Do(const Order& order) {
-    if (is_segment_broken && order.open.empty()) return {};
-    std::string error = Write(order);
+  std::string Execute(const Batch& batch) {
+    if (is_segment_broken && batch.new_path.empty()) return {};
+    std::string error = Write(batch);
     is_segment_broken = !error.empty();
     return error;
   }
 
-  std::string Write(const Order& order) {
-    for (const std::string& path : order.remove) ::unlink(path.c_str());
-    if (!order.open.empty()) {
-      fd = net::Fd(::open(order.open.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_APPEND | O_CLOEXEC, 0600));
-      if (!fd) return order.open + ": " + std::strerror(errno);
+  std::string Write(const Batch& batch) {
+    for (const std::string& path : batch.old_paths) ::unlink(path.c_str());
+    if (!batch.new_path.empty()) {
+      fd = net::Fd(::open(batch.new_path.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_APPEND | O_CLOEXEC, 0600));
+      if (!fd) return batch.new_path + ": " + std::strerror(errno);
     }
-    std::string_view left = order.bytes;
-    while (!left.empty()) {
-      const ssize_t count = ::write(fd.Get(), left.data(), left.size());
+    std::string_view unwritten = batch.bytes;
+    while (!unwritten.empty()) {
+      const ssize_t count = ::write(fd.Get(), unwritten.data(), unwritten.size());
       if (count < 0 && errno == EINTR) continue;
       if (count < 0) return std::string("write: ") + std::strerror(errno);
-      left.remove_prefix(static_cast<std::size_t>(count));
+      unwritten.remove_prefix(static_cast<std::size_t>(count));
     }
     return {};
   }
 
-  void Work() {
-    std::unique_lock held(lock);
+  void Run() {
+    std::unique_lock held_lock(mutex);
     while (true) {
-      work.wait(held, [this] { return end || !orders.empty(); });
-      if (orders.empty()) return;
-      const std::vector<Order> batch = std::exchange(orders, {});
-      busy = true;
-      held.unlock();
+      work.wait(held_lock, [this] { return is_ending || !queue.empty(); });
+      if (queue.empty()) return;
+      const std::vector<Batch> batches = std::exchange(queue, {});
+      is_writing = true;
+      held_lock.unlock();
       std::string error;
-      std::size_t done = 0;
-      for (const Order& order : batch) {
-        const std::string order_error = Do(order);
-        if (error.empty()) error = order_error;
-        done += order.bytes.size();
+      std::size_t processed_bytes = 0;
+      for (const Batch& batch : batches) {
+        const std::string batch_error = Execute(batch);
+        if (error.empty()) error = batch_error;
+        processed_bytes += batch.bytes.size();
       }
-      held.lock();
-      busy = false;
-      waiting -= done;
+      held_lock.lock();
+      is_writing = false;
+      pending_bytes -= processed_bytes;
       if (!error.empty()) failure = std::move(error);
-      if (orders.empty()) idle.notify_all();
+      if (queue.empty()) idle.notify_all();
     }
   }
 };
 
 Writer::Writer() : state_(std::make_shared<State>()) {
-  // A file over the limit on sizes is an error to be told, not the end of the program.
+  // Exceeding the file size limit must fail the write with EFBIG instead of ending the program.
   ::signal(SIGXFSZ, SIG_IGN);
-  // Signals are the loop's: the thread takes none.
-  sigset_t all, before;
+  // Signals are handled by the event loop, so the thread blocks all of them.
+  sigset_t all, old_mask;
   sigfillset(&all);
-  ::pthread_sigmask(SIG_SETMASK, &all, &before);
-  std::thread([state = state_] { state->Work(); }).detach();
-  ::pthread_sigmask(SIG_SETMASK, &before, nullptr);
+  ::pthread_sigmask(SIG_SETMASK, &all, &old_mask);
+  std::thread([state = state_] { state->Run(); }).detach();
+  ::pthread_sigmask(SIG_SETMASK, &old_mask, nullptr);
 }
 
 Writer::~Writer() {
-  Settle(kLastWait);
-  const std::lock_guard held(state_->lock);
-  state_->end = true;
+  WaitUntilIdle(kFinalWaitTimeout);
+  const std::lock_guard held_lock(state_->mutex);
+  state_->is_ending = true;
   state_->work.notify_one();
 }
 
-void Writer::Give(Order order) {
-  const std::lock_guard held(state_->lock);
-  state_->waiting += order.bytes.size();
-  state_->orders.push_back(std::move(order));
+void Writer::Enqueue(Batch batch) {
+  const std::lock_guard held_lock(state_->mutex);
+  state_->pending_bytes += batch.bytes.size();
+  state_->queue.push_back(std::move(batch));
   state_->work.notify_one();
 }
 
-std::size_t Writer::Waiting() const {
-  const std::lock_guard held(state_->lock);
-  return state_->waiting;
+std::size_t Writer::PendingBytes() const {
+  const std::lock_guard held_lock(state_->mutex);
+  return state_->pending_bytes;
 }
 
 std::string Writer::TakeFailure() {
-  const std::lock_guard held(state_->lock);
+  const std::lock_guard held_lock(state_->mutex);
   return std::exchange(state_->failure, {});
 }
 
-bool Writer::Settle(Micros most) {
-  std::unique_lock held(state_->lock);
-  return state_->idle.wait_for(held, most, [this] { return state_->orders.empty() && !state_->busy; });
+bool Writer::WaitUntilIdle(Micros timeout) {
+  std::unique_lock held_lock(state_->mutex);
+  return state_->idle.wait_for(held_lock, timeout,
+                               [this] { return state_->queue.empty() && !state_->is_writing; });
 }
 
 }  // namespace tinspan::record
--- a/src/record/writer.hpp
+++ b/src/record/writer.hpp
@@ -1,6 +1,6 @@
-// Puts a recorder's bytes on disk from a thread of its own, so that a disk that is slow, full or gone never
-// holds up the loop: the loop only ever appends to a list in memory, under a lock that the thread holds for
-// no longer than it takes to swap that list.
+// Writes a recorder's bytes to disk on a thread of its own, so that a slow, full or missing disk never blocks
+// the event loop. The loop only appends to a list in memory; the thread holds the lock of that list only
+// while it swaps it.
 #pragma once
 
 #include <atomic>
@@ -12,30 +12,32 @@
 
 namespace tinspan::record {
 
+// Thread-safe.
 class Writer {
  public:
-  struct Order {                      // carried out in this order
-    std::vector<std::string> remove;  // files
-    std::string open;                 // a new file to write to from now on; empty: the one before
+  struct Batch {                         // executed in the order of its members
+    std::vector<std::string> old_paths;  // files to delete
+    std::string new_path;                // a file to create and write to from now on; empty: the current one
     std::string bytes;
   };
   Writer();
-  // Waits a little for what was given; a disk that hangs does not hold up the end of the program.
+  // Waits a limited time for pending batches, so that a hanging disk does not hold up the end of the program.
   ~Writer();
   Writer(const Writer&) = delete;
   Writer& operator=(const Writer&) = delete;
 
-  void Give(Order order);
-  std::size_t Waiting() const;  // bytes given and not written
-  // Why a write or an open failed since the last call, or empty. Nothing more is written until an order opens
-  // another file.
+  void Enqueue(Batch batch);
+  // Bytes that are enqueued and not yet written.
+  std::size_t PendingBytes() const;
+  // Returns why a write or an open failed since the last call; empty if none did. After a failure nothing is
+  // written until a batch opens another file.
   std::string TakeFailure();
-  // Whether all that was given has been written (or given up) within that time.
-  bool Settle(Micros most);
+  // Waits until all batches are written or have failed. Returns false if that takes longer than `timeout`.
+  bool WaitUntilIdle(Micros timeout);
 
  private:
   struct State;
-  std::shared_ptr<State> state_;  // the thread's as well: it may outlive us
+  std::shared_ptr<State> state_;  // shared with the thread, which may outlive this object
 };
 
 }  // namespace tinspan::record
--- a/tests/fuzz/reader_fuzz.cpp
+++ b/tests/fuzz/reader_fuzz.cpp
@@ -1,6 +1,6 @@
-// Any bytes as a segment, through everything that reads one: frames, records, JSON, the timeline and the
-// report. The first byte chooses: even, the rest is the file; odd, it is cut into messages that are framed as
-// they should be, so that what is inside them is reached too.
+// Feeds arbitrary bytes as a segment to everything that reads one: frames, records, JSON, the timeline and
+// the report. If the first byte is even, the bytes after it are the file; if it is odd, they are cut into
+// messages with valid frames, so that the decoding of messages is fuzzed too.
 #include <cstddef>
 #include <cstdint>
 #include <string>
@@ -16,10 +16,10 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   if (size == 0) return 0;
-  std::string_view rest(reinterpret_cast<const char*>(data) + 1, size - 1);
+  std::string_view input(reinterpret_cast<const char*>(data) + 1, size - 1);
   std::string file;
   if (data[0] % 2 == 0) {
-    file = rest;
+    file = input;
   } else {
     file = record::kMagic;
     record::wire::Record header;
@@ -27,19 +27,20 @@
     header.mutable_header()->set_name("fuzz");
     header.mutable_header()->add_classes()->set_worth(1);
     record::AppendFrame(file, header.SerializeAsString());
-    while (!rest.empty()) {
-      const std::size_t length = std::min<std::size_t>(static_cast<unsigned char>(rest[0]) + 1u, rest.size());
-      record::AppendFrame(file, rest.substr(0, length));
-      rest.remove_prefix(length);
+    while (!input.empty()) {
+      const std::size_t length =
+          std::min<std::size_t>(static_cast<unsigned char>(input[0]) + 1u, input.size());
+      record::AppendFrame(file, input.substr(0, length));
+      input.remove_prefix(length);
     }
   }
   record::SegmentReader reader("fuzz");
   record::Book book;
   timeline::Course course;
   const record::SegmentName name{"fuzz", "fuzz", 1, 1};
-  const auto drain = [&](bool end) {
+  const auto read_available = [&](bool is_at_end) {
     while (true) {
-      const auto state = end ? reader.End() : reader.Next();
+      const auto state = is_at_end ? reader.End() : reader.Next();
       if (state == record::SegmentReader::State::kMore) return;
       if (state == record::SegmentReader::State::kTrouble) {
         course.OnTrouble(reader.Problem());
@@ -51,13 +52,13 @@
       course.OnRecord(name, reader.At(), reader.Record());
     }
   };
-  for (std::size_t at = 0; at < file.size(); at += 97) {
-    reader.Feed(std::string_view(file).substr(at, 97));
-    drain(false);
+  for (std::size_t offset = 0; offset < file.size(); offset += 97) {
+    reader.Feed(std::string_view(file).substr(offset, 97));
+    read_available(false);
   }
-  drain(true);
+  read_available(true);
   const timeline::Story story = timeline::Tell(course, {});
-  if (size % 8 == 0) report::ToHtml(story);  // large, and slow beside the rest
+  if (size % 8 == 0) report::ToHtml(story);  // only sometimes: its output is large and slow to produce
   report::ToJson(story).dump(-1, ' ', false, nlohmann::ordered_json::error_handler_t::replace);
   return 0;
 }
--- a/tests/record_test.cpp
+++ b/tests/record_test.cpp
@@ -1,5 +1,5 @@
-// The flight recorder without a running program: frames under damage, the bound on disk, counts that must be
-// exact, and a disk that fails. Properties print the seed that broke them.
+// Unit tests of the flight recorder: damaged frames, the size limit on disk, exact counts and disk failures.
+// Properties print the seed that made them fail.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
@@ -29,40 +29,40 @@
   return out;
 }
 
-struct Found {
+struct FrameContents {
   std::vector<std::string> messages;
   std::vector<std::pair<std::uint64_t, std::uint64_t>> damage;  // offset, size
 };
-// Fed in pieces, as a file that grows.
-Found ReadFrames(std::string_view bytes, std::size_t piece) {
-  Found out;
+// Feeds the bytes in pieces of `piece_size`, like a growing file.
+FrameContents ReadFrames(std::string_view bytes, std::size_t piece_size) {
+  FrameContents out;
   FrameReader reader;
-  const auto drain = [&](bool end) {
+  const auto read_available = [&](bool is_at_end) {
     while (true) {
-      const auto state = end ? reader.End() : reader.Next();
+      const auto state = is_at_end ? reader.End() : reader.Next();
       if (state == FrameReader::State::kMessage) {
         out.messages.emplace_back(reader.Message());
       } else if (state == FrameReader::State::kDamage) {
-        out.damage.emplace_back(reader.DamageAt(), reader.DamageSize());
+        out.damage.emplace_back(reader.DamageOffset(), reader.DamageSize());
       } else {
         return;
       }
     }
   };
-  for (std::size_t at = 0; at < bytes.size(); at += piece) {
-    reader.Feed(bytes.substr(at, piece));
-    drain(false);
+  for (std::size_t offset = 0; offset < bytes.size(); offset += piece_size) {
+    reader.Feed(bytes.substr(offset, piece_size));
+    read_available(false);
   }
-  drain(true);
+  read_available(true);
   return out;
 }
 
-TEST(Frames, ATailTornAtEveryByteLosesTheLastMessageAlone) {
+TEST(Frames, TruncationAtAnyByteLosesOnlyTheLastMessage) {
   const std::vector<std::string> messages{"first", std::string(300, 'x'), "the last message"};
   const std::string whole = Segment(messages);
-  const std::size_t last = whole.size() - kFrameHead - messages[2].size();
+  const std::size_t last = whole.size() - kFrameHeaderSize - messages[2].size();
   for (std::size_t size = last; size < whole.size(); ++size) {
-    const Found found = ReadFrames(std::string_view(whole).substr(0, size), 7);
+    const FrameContents found = ReadFrames(std::string_view(whole).substr(0, size), 7);
     ASSERT_EQ(found.messages, std::vector<std::string>(messages.begin(), messages.end() - 1));
     if (size == last) {
       ASSERT_TRUE(found.damage.empty());
@@ -72,7 +72,7 @@
   }
 }
 
-RC_GTEST_PROP(Frames, AChangedByteLosesOneMessageAndIsTold, ()) {
+RC_GTEST_PROP(Frames, AChangedByteLosesOneMessageAndIsReported, ()) {
   const auto count = *rc::gen::inRange(2, 12);
   std::vector<std::string> messages;
   std::vector<std::size_t> starts;
@@ -86,60 +86,62 @@
   whole[at] = static_cast<char>(whole[at] ^ *rc::gen::inRange(1, 256));
   const auto hit =
       static_cast<std::size_t>(std::upper_bound(starts.begin(), starts.end(), at) - starts.begin()) - 1;
-  const Found found = ReadFrames(whole, static_cast<std::size_t>(*rc::gen::inRange(1, 64)));
+  const FrameContents found = ReadFrames(whole, static_cast<std::size_t>(*rc::gen::inRange(1, 64)));
   messages.erase(messages.begin() + static_cast<std::ptrdiff_t>(hit));
   RC_ASSERT(found.messages == messages);
   RC_ASSERT(found.damage.size() == 1u && found.damage[0].first == starts[hit]);
 }
 
-TEST(Frames, AMessageLargerThanWhatIsDoubtedIsWaitedFor) {
+// Longer than an incomplete frame whose length is trusted (frame.cpp): the reader searches behind it, finds
+// nothing and must still return it once it is complete.
+TEST(Frames, ALargeIncompleteMessageIsReadOnceItIsComplete) {
   const std::vector<std::string> messages{"first", std::string(300'000, 'x'), std::string(90'000, 'y'),
                                           "last"};
-  const Found found = ReadFrames(Segment(messages), 10'000);
+  const FrameContents found = ReadFrames(Segment(messages), 10'000);
   EXPECT_EQ(found.messages, messages);
   EXPECT_TRUE(found.damage.empty());
 }
 
-RC_GTEST_PROP(Frames, AnyBytesAreReadWithoutHarm, ()) {
+RC_GTEST_PROP(Frames, ArbitraryBytesYieldNoMessages, ()) {
   std::string bytes = *rc::gen::string<std::string>();
   if (*rc::gen::arbitrary<bool>()) bytes = std::string(kMagic) + bytes;
-  const Found found = ReadFrames(bytes, static_cast<std::size_t>(*rc::gen::inRange(1, 16)));
+  const FrameContents found = ReadFrames(bytes, static_cast<std::size_t>(*rc::gen::inRange(1, 16)));
   RC_ASSERT(found.messages.empty());
 }
 
-RC_GTEST_PROP(Rotations, TheBoundHoldsAtEveryMoment, ()) {
+RC_GTEST_PROP(Rotations, TheSizeLimitHoldsAfterEveryStep, ()) {
   RotationRules rules;
   rules.segment_bytes = static_cast<std::uint64_t>(*rc::gen::inRange(100, 1000));
   rules.total_bytes = rules.segment_bytes * static_cast<std::uint64_t>(*rc::gen::inRange(2, 6));
   rules.segment_age = Micros{1000};
-  std::map<std::string, std::uint64_t> disk;
-  std::vector<SegmentFile> old;
+  std::map<std::string, std::uint64_t> disk;  // file sizes
+  std::vector<SegmentFile> old_files;
   for (int i = *rc::gen::inRange(0, 4); i > 0; --i) {
-    old.push_back({"old" + std::to_string(9 - i), rules.total_bytes / 4});
-    disk[old.back().name] = old.back().bytes;
+    old_files.push_back({"old" + std::to_string(9 - i), rules.total_bytes / 4});
+    disk[old_files.back().name] = old_files.back().bytes;
   }
-  Rotation rotation(rules, old);
-  const auto held = [&] {
+  Rotation rotation(rules, old_files);
+  const auto disk_bytes = [&] {
     std::uint64_t sum = 0;
     for (const auto& [name, bytes] : disk) sum += bytes;
     return sum;
   };
-  std::string open;
+  std::string open_name;
   Micros now{5000};
   int number = 0;
   for (const int step : *rc::gen::container<std::vector<int>>(200, rc::gen::inRange(1, 100))) {
     now += Micros{step % 7 == 0 ? -400 : step};
     const auto bytes = static_cast<std::uint64_t>(step);
     if (!rotation.Fits(bytes, now)) {
-      open = "segment" + std::to_string(++number);
-      for (const std::string& name : rotation.Open(open, now)) disk.erase(name);
-      disk[open] = 0;
+      open_name = "segment" + std::to_string(++number);
+      for (const std::string& name : rotation.OpenSegment(open_name, now)) disk.erase(name);
+      disk[open_name] = 0;
       RC_ASSERT(rotation.Fits(bytes, now));
     }
-    disk[open] += bytes;
-    rotation.Wrote(bytes);
-    RC_ASSERT(held() <= rules.total_bytes);
-    RC_ASSERT(held() == rotation.Held());
+    disk[open_name] += bytes;
+    rotation.AddBytes(bytes);
+    RC_ASSERT(disk_bytes() <= rules.total_bytes);
+    RC_ASSERT(disk_bytes() == rotation.TotalBytes());
   }
 }
 
@@ -154,22 +156,22 @@
   }
 }
 
-// ---- Counts, against the real core under random courses. ----
+// ---- Counts, compared with the real core under random events. ----
 
 Settings MakeSettings() {
   Settings settings;
   for (int i = 0; i < 3; ++i) {
-    ClassSettings one;
-    one.effect = i == 2 ? Effect::kIdempotencyKey : Effect::kIdempotent;
-    one.idempotency_scope = IdempotencyScope::kAll;
-    one.idempotency_window = Micros{6'000'000};
-    one.latency_objective = Micros{300'000};
-    one.deadline = Micros{1'500'000};
-    one.priority_weight = 1 + i;
-    one.late_weight = 0.2;
-    one.stale_weight = 0.7;
-    one.is_streamed = true;
-    settings.classes.push_back(one);
+    ClassSettings class_settings;
+    class_settings.effect = i == 2 ? Effect::kIdempotencyKey : Effect::kIdempotent;
+    class_settings.idempotency_scope = IdempotencyScope::kAll;
+    class_settings.idempotency_window = Micros{6'000'000};
+    class_settings.latency_objective = Micros{300'000};
+    class_settings.deadline = Micros{1'500'000};
+    class_settings.priority_weight = 1 + i;
+    class_settings.late_weight = 0.2;
+    class_settings.stale_weight = 0.7;
+    class_settings.is_streamed = true;
+    settings.classes.push_back(class_settings);
   }
   settings.zone_count = 2;
   settings.kind_count = 2;
@@ -189,195 +191,203 @@
   return settings;
 }
 
-class Course {
+// Runs a RequestCoordinator and a Tracker on the same random events and counts what the tracker has to
+// record.
+class RandomRun {
  public:
-  explicit Course(std::uint64_t seed)
+  explicit RandomRun(std::uint64_t seed)
       : random_(seed),
-        gateway_(MakeSettings(), seed, mono_, {}),
+        coordinator_(MakeSettings(), seed, mono_, {}),
         tracker_(MakeSettings(), {.sample_ppm = 300'000}, seed) {}
 
   void Run(int rounds) {
-    Tell({Members(EndpointsEvent::Kind::kFull)});
-    for (int i = 0; i < rounds; ++i) Tell(Events());
-    for (int i = 0; i < 400; ++i) {  // all deadlines pass
-      std::vector<core::Event> rest;
-      for (const auto& [id, attempt] : out_) {
+    Handle({Members(EndpointsEvent::Kind::kFull)});
+    for (int i = 0; i < rounds; ++i) Handle(RandomEvents());
+    for (int i = 0; i < 400; ++i) {  // until all deadlines have passed
+      std::vector<core::Event> events;
+      for (const auto& [id, attempt] : open_attempts_) {
         if (Chance(3))
-          rest.push_back(core::AttemptCompleted{.id = id, .attempt = attempt, .outcome = Outcome::kError});
+          events.push_back(core::AttemptCompleted{.id = id, .attempt = attempt, .outcome = Outcome::kError});
       }
-      Tell(rest);
+      Handle(events);
     }
     tracker_.Flush(mono_, records_);
   }
 
-  std::map<std::uint32_t, std::uint64_t> came, recorded_came, recorded_ended;
+  std::map<std::uint32_t, std::uint64_t> received, recorded_received, recorded_ended;  // by class
   std::map<std::pair<std::uint32_t, std::uint32_t>, std::uint64_t> verdicts,
-      recorded_verdicts;  // class, ending
-  std::uint64_t sends = 0, recorded_attempts = 0, traces = 0, bad = 0;
-  std::size_t Left() const { return tracker_.Watched(); }
+      recorded_verdicts;  // by class and ending
+  std::uint64_t started_attempts = 0, recorded_attempts = 0, traces = 0, fault_traces = 0;
+  std::size_t TrackedRequests() const { return tracker_.TrackedRequests(); }
 
-  void Sum() {
+  void SumRecords() {
     for (const wire::Record& record : records_) {
       if (record.has_trace()) {
         ++traces;
         RC_ASSERT(record.trace().attempts_size() <= 3);
-        if (!record.trace().sampled()) ++bad;
+        if (!record.trace().sampled()) ++fault_traces;
       }
       const wire::Window& window = record.window();
-      for (int i = 0; i + 1 < window.came_size(); i += 2) recorded_came[window.came(i)] += window.came(i + 1);
+      for (int i = 0; i + 1 < window.came_size(); i += 2)
+        recorded_received[window.came(i)] += window.came(i + 1);
       for (int i = 0; i + 1 < window.ended_size(); i += 2) {
-        const auto key = window.ended(i) / 16 % 3;
-        recorded_ended[static_cast<std::uint32_t>(key)] += window.ended(i + 1);
-        recorded_verdicts[{static_cast<std::uint32_t>(key), window.ended(i) % 16}] += window.ended(i + 1);
+        const auto class_id = window.ended(i) / 16 % 3;
+        recorded_ended[static_cast<std::uint32_t>(class_id)] += window.ended(i + 1);
+        recorded_verdicts[{static_cast<std::uint32_t>(class_id), window.ended(i) % 16}] +=
+            window.ended(i + 1);
       }
       for (int i = 0; i + 1 < window.attempts_size(); i += 2) recorded_attempts += window.attempts(i + 1);
     }
   }
 
  private:
-  bool Chance(int of) { return random_() % static_cast<unsigned>(of) == 0; }
+  // True once in `count` calls on average.
+  bool Chance(int count) { return random_() % static_cast<unsigned>(count) == 0; }
   core::EndpointsUpdated Members(EndpointsEvent::Kind kind) {
-    core::EndpointsUpdated told;
-    told.kind = kind;
+    core::EndpointsUpdated update;
+    update.kind = kind;
     for (std::uint64_t id = 11; id < 16; ++id) {
       if (id > 12 && Chance(4)) continue;
-      const bool origin = id == 11;
-      told.endpoints.push_back(
+      const bool is_origin = id == 11;
+      update.endpoints.push_back(
           {.id = ServerId{id},
            .availability = id > 12 && Chance(4) ? Availability::kDraining : Availability::kUp,
-           .kind = KindId{origin ? 1u : 0u},
-           .zone = ZoneId{origin ? 0u : 1u}});
-      told.names.push_back({"s" + std::to_string(id), ""});
+           .kind = KindId{is_origin ? 1u : 0u},
+           .zone = ZoneId{is_origin ? 0u : 1u}});
+      update.names.push_back({"s" + std::to_string(id), ""});
     }
-    return told;
+    return update;
   }
-  std::vector<core::Event> Events() {
+  std::vector<core::Event> RandomEvents() {
     std::vector<core::Event> out;
     for (int i = static_cast<int>(random_() % 4); i > 0; --i) {
       core::RequestReceived request;
-      request.id = gateway_.NextRequestId();
+      request.id = coordinator_.NextRequestId();
       request.class_id = ClassId{static_cast<std::uint32_t>(random_() % 3)};
       request.time_left = Micros{1'500'000};
       request.object = ObjectId{1 + random_() % 20};
       request.group = GroupId{random_() % 4};
       request.size_kb = 10;
       arrived_[request.id] = {mono_, static_cast<std::uint32_t>(request.class_id)};
-      ++came[static_cast<std::uint32_t>(request.class_id)];
+      ++received[static_cast<std::uint32_t>(request.class_id)];
       out.push_back(request);
     }
-    for (const auto& [id, attempt] : std::map(out_)) {
+    for (const auto& [id, attempt] : std::map(open_attempts_)) {
       if (!Chance(3)) continue;
-      core::AttemptCompleted ended{.id = id, .attempt = attempt};
-      constexpr std::array kAll{Outcome::kServed, Outcome::kServed, Outcome::kServed,
-                                Outcome::kServed, Outcome::kError,  Outcome::kRejected,
-                                Outcome::kReset,  Outcome::kMiss,   Outcome::kNotSent};
-      ended.outcome = kAll[random_() % kAll.size()];
-      ended.note = Chance(5) ? FillNote::kStaleHit : FillNote::kHit;
-      ended.issued_at = mono_ - Micros{static_cast<std::int64_t>(random_() % 4'000'000)};
-      if (Chance(3)) out.push_back(core::ResponseStarted{id, attempt, ended.issued_at});
-      stale_[id] = ended.note == FillNote::kStaleHit;
-      out.push_back(ended);
+      core::AttemptCompleted completed{.id = id, .attempt = attempt};
+      constexpr std::array kOutcomes{Outcome::kServed, Outcome::kServed, Outcome::kServed,
+                                     Outcome::kServed, Outcome::kError,  Outcome::kRejected,
+                                     Outcome::kReset,  Outcome::kMiss,   Outcome::kNotSent};
+      completed.outcome = kOutcomes[random_() % kOutcomes.size()];
+      completed.note = Chance(5) ? FillNote::kStaleHit : FillNote::kHit;
+      completed.issued_at = mono_ - Micros{static_cast<std::int64_t>(random_() % 4'000'000)};
+      if (Chance(3)) out.push_back(core::ResponseStarted{id, attempt, completed.issued_at});
+      is_stale_[id] = completed.note == FillNote::kStaleHit;
+      out.push_back(completed);
     }
     if (Chance(40)) out.push_back(Members(EndpointsEvent::Kind::kDelta));
     if (Chance(80)) out.push_back(Members(EndpointsEvent::Kind::kFull));
     if (Chance(15)) out.push_back(core::PurgeReceived{mono_, GroupId{random_() % 4}, std::nullopt});
     if (Chance(9) && !arrived_.empty()) {
       const RequestId id = arrived_.begin()->first;
-      if (!answered_.contains(id)) Verdict(id, Ending::kLeft);
+      if (!answered_.contains(id)) CountVerdict(id, Ending::kLeft);
       out.push_back(core::ClientDisconnected{id});
     }
     return out;
   }
-  void Verdict(RequestId id, Ending ending) {
+  void CountVerdict(RequestId id, Ending ending) {
     answered_.insert(id);
     ++verdicts[{arrived_.at(id).second, static_cast<std::uint32_t>(ending)}];
     arrived_.erase(id);
   }
-  void Tell(const std::vector<core::Event>& events) {
-    now_ += Micros{10'000};
+  void Handle(const std::vector<core::Event>& events) {
+    wall_ += Micros{10'000};
     mono_ += Micros{10'000};
-    if (Chance(200)) now_ -= Micros{1'000'000};  // the wall clock steps
+    if (Chance(200)) wall_ -= Micros{1'000'000};  // the wall clock steps back
     core::Commands commands;
-    gateway_.Handle(mono_, events, commands);
-    tracker_.Round(UnixTime(now_), mono_, events, commands, gateway_.OpenRequests(), records_);
+    coordinator_.Handle(mono_, events, commands);
+    tracker_.RecordRound(UnixTime(wall_), mono_, events, commands, coordinator_.OpenRequests(), records_);
     for (const core::Command& command : commands) {
-      if (const auto* send = std::get_if<core::StartAttempt>(&command)) {
-        ++sends;
-        out_[send->action.id] = send->attempt;
-      } else if (const auto* stop = std::get_if<core::AbortAttempt>(&command)) {
-        out_.erase(stop->id);
-      } else if (const auto* answer = std::get_if<core::CompleteRequest>(&command)) {
-        if (answered_.contains(answer->id)) continue;
-        const bool late = mono_ - arrived_.at(answer->id).first > Micros{300'000};
-        const bool stale = stale_[answer->id];
+      if (const auto* start = std::get_if<core::StartAttempt>(&command)) {
+        ++started_attempts;
+        open_attempts_[start->action.id] = start->attempt;
+      } else if (const auto* aborted = std::get_if<core::AbortAttempt>(&command)) {
+        open_attempts_.erase(aborted->id);
+      } else if (const auto* completion = std::get_if<core::CompleteRequest>(&command)) {
+        if (answered_.contains(completion->id)) continue;
+        const bool is_late = mono_ - arrived_.at(completion->id).first > Micros{300'000};
+        const bool is_stale = is_stale_[completion->id];
         using core::CompletionStatus;
-        Course::Verdict(answer->id, answer->status == CompletionStatus::kServed
-                                        ? (late ? (stale ? Ending::kLateStale : Ending::kLate)
-                                                : (stale ? Ending::kStale : Ending::kInTime))
-                                    : answer->status == CompletionStatus::kTruncated ? Ending::kBroken
-                                    : answer->deadline_exceeded                      ? Ending::kOverdue
-                                    : answer->status == CompletionStatus::kRejected  ? Ending::kRefused
+        RandomRun::CountVerdict(completion->id,
+                                completion->status == CompletionStatus::kServed
+                                    ? (is_late ? (is_stale ? Ending::kLateStale : Ending::kLate)
+                                               : (is_stale ? Ending::kStale : Ending::kInTime))
+                                : completion->status == CompletionStatus::kTruncated ? Ending::kBroken
+                                : completion->deadline_exceeded                      ? Ending::kOverdue
+                                : completion->status == CompletionStatus::kRejected  ? Ending::kRefused
                                                                                      : Ending::kFailed);
       }
     }
     for (const core::Event& event : events) {
-      if (const auto* ended = std::get_if<core::AttemptCompleted>(&event)) {
-        const auto found = out_.find(ended->id);
-        if (found != out_.end() && found->second == ended->attempt) out_.erase(found);
+      if (const auto* completed = std::get_if<core::AttemptCompleted>(&event)) {
+        const auto found = open_attempts_.find(completed->id);
+        if (found != open_attempts_.end() && found->second == completed->attempt) open_attempts_.erase(found);
       }
     }
   }
 
   std::mt19937_64 random_;
-  Micros now_{1'764'576'000'000'000}, mono_{77'000'000};
-  core::RequestCoordinator gateway_;
+  Micros wall_{1'764'576'000'000'000}, mono_{77'000'000};
+  core::RequestCoordinator coordinator_;
   Tracker tracker_;
   std::vector<wire::Record> records_;
-  std::map<RequestId, std::uint32_t> out_;
-  std::map<RequestId, std::pair<Micros, std::uint32_t>> arrived_;
+  std::map<RequestId, std::uint32_t> open_attempts_;               // the number of the last attempt
+  std::map<RequestId, std::pair<Micros, std::uint32_t>> arrived_;  // when, and class
   std::set<RequestId> answered_;
-  std::map<RequestId, bool> stale_;
+  std::map<RequestId, bool> is_stale_;
 };
 
-RC_GTEST_PROP(Trackers, CountsAreExactWhateverHappens, (std::uint64_t seed)) {
-  Course course(seed);
-  course.Run(300);
-  course.Sum();
-  RC_ASSERT(course.Left() == 0u);
-  RC_ASSERT(course.recorded_came == course.came);
-  RC_ASSERT(course.recorded_ended == course.came);
-  RC_ASSERT(course.recorded_verdicts == course.verdicts);
-  RC_ASSERT(course.recorded_attempts == course.sends);
-  std::uint64_t bad = 0;
-  for (const auto& [key, count] : course.verdicts) {
+RC_GTEST_PROP(Trackers, CountsAreExactForRandomEvents, (std::uint64_t seed)) {
+  RandomRun run(seed);
+  run.Run(300);
+  run.SumRecords();
+  RC_ASSERT(run.TrackedRequests() == 0u);
+  RC_ASSERT(run.recorded_received == run.received);
+  RC_ASSERT(run.recorded_ended == run.received);
+  RC_ASSERT(run.recorded_verdicts == run.verdicts);
+  RC_ASSERT(run.recorded_attempts == run.started_attempts);
+  std::uint64_t faults = 0;
+  for (const auto& [key, count] : run.verdicts) {
     const auto ending = static_cast<Ending>(key.second);
-    if (ending != Ending::kInTime && ending != Ending::kStale && ending != Ending::kLeft) bad += count;
+    if (ending != Ending::kInTime && ending != Ending::kStale && ending != Ending::kLeft) faults += count;
   }
-  RC_ASSERT(course.bad == bad);  // each that went wrong leaves a trace
-  RC_ASSERT(course.traces > bad);
+  RC_ASSERT(run.fault_traces == faults);  // each request with a fault is traced
+  RC_ASSERT(run.traces > faults);
 }
 
-// ---- The whole recorder on a disk. ----
+// ---- The whole recorder, with files on disk. ----
 
-class Folder {
+// A temporary folder, removed at the end.
+class TemporaryFolder {
  public:
-  Folder() {
+  TemporaryFolder() {
     char name[] = "/tmp/tinspan-record-XXXXXX";
     path = ::mkdtemp(name);
   }
-  ~Folder() { fs::remove_all(path); }
+  ~TemporaryFolder() { fs::remove_all(path); }
   std::uint64_t Bytes() const {
     std::uint64_t sum = 0;
     for (const auto& entry : fs::directory_iterator(path)) {
-      std::error_code gone;  // rotated away since the listing
-      const auto size = entry.file_size(gone);
-      if (!gone) sum += size;
+      std::error_code error;  // the file may have been deleted by rotation since the listing
+      const auto size = entry.file_size(error);
+      if (!error) sum += size;
     }
     return sum;
   }
   std::string path;
 };
 
+// Keeps everything that is read.
 class Collected final : public Sink {
  public:
   void OnRecord(const SegmentName&, Micros, const wire::Record& record) override {
@@ -386,6 +396,7 @@
   void OnTrouble(const Trouble& trouble) override { troubles.push_back(trouble); }
   std::vector<wire::Record> records;
   std::vector<Trouble> troubles;
+  // How many router lines were read.
   std::size_t Lines() const {
     return static_cast<std::size_t>(std::count_if(records.begin(), records.end(), [](auto& one) {
       return one.what_case() == wire::Record::kRouterLine;
@@ -393,7 +404,7 @@
   }
 };
 
-RecorderOptions MakeOptions(const Folder& folder) {
+RecorderOptions MakeOptions(const TemporaryFolder& folder) {
   return {.folder = folder.path,
           .name = "north",
           .version = "test",
@@ -407,23 +418,25 @@
           .seed = 1};
 }
 core::ClockReading ClocksNow() { return {net::UnixNow(), net::Now()}; }
-void Write(Recorder& recorder, int lines, std::size_t size = 100) {
+// Records this many router lines of `size` bytes.
+void WriteLines(Recorder& recorder, int lines, std::size_t size = 100) {
   for (int i = 0; i < lines; ++i) {
     const core::Commands commands{core::LogMessage{std::string(size, 'x')}};
     recorder.OnRound(ClocksNow(), {}, commands, 0);
   }
 }
 
-TEST(Recorders, WhatIsWrittenIsReadWhileItGrowsAndAfterItsEnd) {
-  Folder folder;
+TEST(Recorders, RecordsAreReadWhileTheFileGrowsAndAfterItsEnd) {
+  TemporaryFolder folder;
   FolderReader reader({folder.path});
   Collected got;
   {
     Recorder recorder(MakeSettings(), MakeOptions(folder), ClocksNow());
-    Write(recorder, 10);
-    recorder.OnLifecycleEvent(ClocksNow(), core::LifecycleEvent::kStopping, 0, {}, 0);  // hands over
-    while (got.Lines() < 10) reader.Poll(got);  // as soon as the thread has written
-    Write(recorder, 10);
+    WriteLines(recorder, 10);
+    // A lifecycle event passes all records to the writer thread; then they are read once it has written them.
+    recorder.OnLifecycleEvent(ClocksNow(), core::LifecycleEvent::kStopping, 0, {}, 0);
+    while (got.Lines() < 10) reader.Poll(got);
+    WriteLines(recorder, 10);
     recorder.OnLifecycleEvent(ClocksNow(), core::LifecycleEvent::kStopped, 0, {}, 0);
   }
   reader.Poll(got);
@@ -434,14 +447,14 @@
   EXPECT_EQ(got.records.back().life().what(), wire::Life::STOPPED);
 }
 
-TEST(Recorders, AQuotaIsNeverExceededAndTheNewestIsKept) {
-  Folder folder;
+TEST(Recorders, TheSizeLimitIsNeverExceededAndRecordingContinues) {
+  TemporaryFolder folder;
   RecorderOptions options = MakeOptions(folder);
   options.rotation = {.segment_bytes = 20'000, .segment_age = Micros{600'000'000}, .total_bytes = 60'000};
   Recorder recorder(MakeSettings(), options, ClocksNow());
   std::uint64_t most = 0;
   for (int i = 0; i < 200; ++i) {
-    Write(recorder, 20);
+    WriteLines(recorder, 20);
     recorder.OnLifecycleEvent(ClocksNow(), core::LifecycleEvent::kSignalReceived, i, {}, 0);
     most = std::max(most, folder.Bytes());
   }
@@ -453,13 +466,13 @@
   EXPECT_TRUE(got.troubles.empty());
 }
 
-TEST(Recorders, AMissingSegmentIsTold) {
-  Folder folder;
+TEST(Recorders, AMissingSegmentIsReported) {
+  TemporaryFolder folder;
   {
     RecorderOptions options = MakeOptions(folder);
     options.rotation = {.segment_bytes = 4'000, .segment_age = Micros{600'000'000}, .total_bytes = 1 << 20};
     Recorder recorder(MakeSettings(), options, ClocksNow());
-    Write(recorder, 200);
+    WriteLines(recorder, 200);
   }
   std::vector<fs::path> files;
   for (const auto& entry : fs::directory_iterator(folder.path)) files.push_back(entry.path());
@@ -476,31 +489,32 @@
             std::string::npos);
 }
 
-// A disk that fails for a while: what comes meanwhile is a gap, and recording goes on in another segment.
-TEST(Recorders, GoesOnAfterADiskThatFailedForAWhile) {
-  Folder folder;
+// Records that arrive while the disk fails are dropped and counted; afterwards recording continues in a new
+// segment.
+TEST(Recorders, ResumesAfterATemporaryDiskFailure) {
+  TemporaryFolder folder;
   rlimit before{};
   ::getrlimit(RLIMIT_FSIZE, &before);
   std::size_t lines_before = 0;
   {
     Recorder recorder(MakeSettings(), MakeOptions(folder), ClocksNow());
     const rlimit small{8'000, before.rlim_max};
-    ::setrlimit(RLIMIT_FSIZE, &small);  // EFBIG from there on
+    ::setrlimit(RLIMIT_FSIZE, &small);  // writes beyond it fail with EFBIG
     for (int i = 0; i < 2000 && recorder.IsOn(); ++i) {
-      Write(recorder, 20);
+      WriteLines(recorder, 20);
       recorder.OnLifecycleEvent(ClocksNow(), core::LifecycleEvent::kSignalReceived, 1, {}, 0);
     }
     ::setrlimit(RLIMIT_FSIZE, &before);
     ASSERT_FALSE(recorder.IsOn());
-    Write(recorder, 20);
+    WriteLines(recorder, 20);
     Collected got;
     FolderReader reader({folder.path});
     reader.Poll(got);
     lines_before = got.Lines();
     std::this_thread::sleep_for(std::chrono::milliseconds(1100));
-    Write(recorder, 30);
+    WriteLines(recorder, 30);
     EXPECT_TRUE(recorder.IsOn());
-    EXPECT_GE(recorder.Lost(), 20u);
+    EXPECT_GE(recorder.DroppedRecords(), 20u);
   }
   Collected got;
   FolderReader reader({folder.path});
@@ -509,26 +523,26 @@
   EXPECT_EQ(got.Lines(), lines_before + 30);
 }
 
-TEST(Recorders, ADiskThatFailsTurnsItOffAndNothingElse) {
-  Folder folder;
+TEST(Recorders, ADiskFailureStopsOnlyTheRecording) {
+  TemporaryFolder folder;
   rlimit before{};
   ::getrlimit(RLIMIT_FSIZE, &before);
   Recorder recorder(MakeSettings(), MakeOptions(folder), ClocksNow());
   const rlimit small{8'000, before.rlim_max};
-  ::setrlimit(RLIMIT_FSIZE, &small);  // EFBIG from there on
+  ::setrlimit(RLIMIT_FSIZE, &small);  // writes beyond it fail with EFBIG
   for (int i = 0; i < 2000 && recorder.IsOn(); ++i) {
-    Write(recorder, 20);
+    WriteLines(recorder, 20);
     recorder.OnLifecycleEvent(ClocksNow(), core::LifecycleEvent::kSignalReceived, 1, {}, 0);
   }
   ::setrlimit(RLIMIT_FSIZE, &before);
   EXPECT_FALSE(recorder.IsOn());
-  Write(recorder, 20);  // harmless
+  WriteLines(recorder, 20);  // must have no effect
   Collected got;
   FolderReader reader({folder.path});
   reader.Poll(got);
   reader.Finish(got);
-  EXPECT_GT(got.Lines(), 20u);         // what fitted is there
-  EXPECT_EQ(got.troubles.size(), 1u);  // and the torn tail is told
+  EXPECT_GT(got.Lines(), 20u);         // the records before the limit are readable
+  EXPECT_EQ(got.troubles.size(), 1u);  // and the incomplete last one is reported
   EXPECT_THROW(Recorder(
                    MakeSettings(),
                    [&] {
@@ -541,16 +555,16 @@
 }
 
 TEST(Recorders, TenThousandMembersFitIntoASegment) {
-  Folder folder;
+  TemporaryFolder folder;
   Recorder recorder(MakeSettings(), MakeOptions(folder), ClocksNow());
-  core::EndpointsUpdated told;
-  told.source = "consul/shop-cache";
-  told.version = 3;
+  core::EndpointsUpdated update;
+  update.source = "consul/shop-cache";
+  update.version = 3;
   for (std::uint64_t id = 1; id <= 10'000; ++id) {
-    told.endpoints.push_back({.id = ServerId{id}, .kind = KindId{0}, .zone = ZoneId{1}});
-    told.names.push_back({"node-" + std::to_string(id) + "/c", "10.0.0.1:80"});
+    update.endpoints.push_back({.id = ServerId{id}, .kind = KindId{0}, .zone = ZoneId{1}});
+    update.names.push_back({"node-" + std::to_string(id) + "/c", "10.0.0.1:80"});
   }
-  const std::vector<core::Event> events{told};
+  const std::vector<core::Event> events{update};
   recorder.OnRound(ClocksNow(), events, {}, 0);
   recorder.OnLifecycleEvent(ClocksNow(), core::LifecycleEvent::kSignalReceived, 1, {}, 0);
   EXPECT_TRUE(recorder.IsOn());
@@ -561,30 +575,30 @@
   EXPECT_GT(got.records.size(), 10'000u);
 }
 
-TEST(Readers, WhatIsNotKnownIsPassedOverAndTold) {
+TEST(Readers, UnknownRecordsAreSkippedAndReported) {
   wire::Record header, newer, plain;
   header.mutable_header()->set_name("north");
   header.mutable_header()->set_format(2);
   plain.set_router_line("hello");
-  const std::string strange(
+  const std::string unknown_field(
       "\xa2\x06\x03"
       "abc",
       6);  // field 100
-  std::string bytes = Segment({plain.SerializeAsString(), header.SerializeAsString(), strange, "\x0f\x0f",
-                               plain.SerializeAsString()});
+  std::string bytes = Segment({plain.SerializeAsString(), header.SerializeAsString(), unknown_field,
+                               "\x0f\x0f", plain.SerializeAsString()});
   SegmentReader reader("f");
   reader.Feed(bytes);
-  std::vector<std::string> told;
+  std::vector<std::string> troubles;
   int records = 0;
   for (auto state = reader.End(); state != SegmentReader::State::kMore; state = reader.End()) {
-    state == SegmentReader::State::kTrouble ? told.push_back(reader.Problem().what)
+    state == SegmentReader::State::kTrouble ? troubles.push_back(reader.Problem().what)
                                             : static_cast<void>(++records);
   }
-  ASSERT_EQ(told.size(), 4u);
-  EXPECT_NE(told[0].find("before any header"), std::string::npos);
-  EXPECT_NE(told[1].find("format 2, newer than 1"), std::string::npos);
-  EXPECT_NE(told[2].find("kind that is not known"), std::string::npos);
-  EXPECT_NE(told[3].find("cannot be read"), std::string::npos);
+  ASSERT_EQ(troubles.size(), 4u);
+  EXPECT_NE(troubles[0].find("before any header"), std::string::npos);
+  EXPECT_NE(troubles[1].find("format 2, newer than 1"), std::string::npos);
+  EXPECT_NE(troubles[2].find("kind that is not known"), std::string::npos);
+  EXPECT_NE(troubles[3].find("cannot be read"), std::string::npos);
   EXPECT_EQ(records, 1);
   SegmentReader foreign("g");
   foreign.Feed("PNG and so on, long enough to be sure");
