--- a/src/record/recorder.cpp
+++ b/src/record/recorder.cpp
@@ -44,7 +44,8 @@
     out.push_back({entry.path().string(), size_error ? 0 : bytes});
   }
   if (error) throw std::runtime_error(options.folder + ": " + error.message());
-  std::sort(out.begin(), out.end(), [](const auto& a, const auto& b) { return a.name < b.name; });
+  std::sort(out.begin(), out.end(),
+            [](const auto& left, const auto& right) { return left.name < right.name; });
   return out;
 }
 
@@ -190,14 +191,14 @@
   header.set_front(options_.front);
   header.set_sample_ppm(options_.tracker.sample_ppm);
   for (std::size_t i = 0; i < settings_.classes.size(); ++i) {
-    const ClassSettings& of = settings_.classes[i];
+    const ClassSettings& class_settings = settings_.classes[i];
     wire::Class& out = *header.add_classes();
     out.set_name(i < options_.classes.size() ? options_.classes[i] : std::to_string(i));
-    out.set_aim_us(of.latency_objective.count());
-    out.set_deadline_us(of.deadline.count());
-    out.set_worth(of.priority_weight);
-    out.set_late_worth(of.late_weight);
-    out.set_stale_worth(of.stale_weight);
+    out.set_aim_us(class_settings.latency_objective.count());
+    out.set_deadline_us(class_settings.deadline.count());
+    out.set_worth(class_settings.priority_weight);
+    out.set_late_worth(class_settings.late_weight);
+    out.set_stale_worth(class_settings.stale_weight);
   }
   for (const std::string& zone : options_.zones) header.add_zones(zone);
   for (const std::string& kind : options_.kinds) header.add_kinds(kind);
--- a/src/record/tracker.cpp
+++ b/src/record/tracker.cpp
@@ -328,12 +328,12 @@
     const auto index = static_cast<std::size_t>(request->received.class_id);
     Micros latency_objective = Micros::max();
     if (index < settings_.classes.size() && settings_.classes[index].latency_objective > Micros{0}) {
-      const ClassSettings& of = settings_.classes[index];
+      const ClassSettings& class_settings = settings_.classes[index];
       const double transfer_us = settings_.transfer_rate_kb_per_s > 0
                                      ? request->received.size_kb / settings_.transfer_rate_kb_per_s * 1e6
                                      : 0;
-      latency_objective =
-          of.latency_objective + Micros{std::llround(of.latency_objective_stretch * transfer_us)};
+      latency_objective = class_settings.latency_objective +
+                          Micros{std::llround(class_settings.latency_objective_stretch * transfer_us)};
     }
     const bool is_late = now_ - request->received_at > latency_objective;
     const bool is_stale = attempt != nullptr && attempt->note == FillNote::kStaleHit;
