--- a/src/cli/console.cpp
+++ b/src/cli/console.cpp
@@ -20,13 +20,13 @@
 
 namespace po = boost::program_options;
 
-constexpr int kTickMs = 100;
-constexpr Micros kFirstAnswer{5'000'000};
+constexpr int kKeyTimeoutMs = 100;
+constexpr Micros kFirstResponseTimeout{5'000'000};
 
-// Where records come from: folders that are polled, or gateways that are asked.
-class Source {
+// Polls folders of records and running gateways, and feeds their records to `timelines`.
+class RecordSource {
  public:
-  Source(const Values& values, const std::vector<std::string>& folders) {
+  RecordSource(const Values& values, const std::vector<std::string>& folders) {
     if (!folders.empty()) folders_ = std::make_unique<record::FolderReader>(folders);
     if (values.count("from") == 0) return;
     if (values.count("token-file") == 0)
@@ -36,45 +36,47 @@
       token.pop_back();
     for (const std::string& url : values["from"].as<std::vector<std::string>>()) {
       constexpr std::string_view kScheme = "http://";
-      const auto at = url.starts_with(kScheme)
-                          ? net::Endpoint::Parse(std::string_view(url).substr(kScheme.size()))
-                          : std::nullopt;
-      if (!at)
+      const auto endpoint = url.starts_with(kScheme)
+                                ? net::Endpoint::Parse(std::string_view(url).substr(kScheme.size()))
+                                : std::nullopt;
+      if (!endpoint)
         throw Usage{"option '--from': expected http:// and an address such as http://127.0.0.1:8080, not '" +
                     url + "'"};
-      remotes_.push_back(std::make_unique<console::Remote>(loop_, *at, token, course));
+      remotes_.push_back(std::make_unique<console::Remote>(loop_, *endpoint, token, timelines));
     }
   }
-  // Takes what has come; waits for that long where it may.
+  // Reads the new records; waits for gateways up to `wait`.
   void Poll(Micros wait) {
-    if (folders_) segments_ = folders_->Poll(course);
+    if (folders_) segments_ = folders_->Poll(timelines);
     loop_.Poll(remotes_.empty() ? Micros{0} : wait);
     loop_.Timers().Run(net::Now());
-    for (const auto& one : remotes_) one->EndRound();
+    for (const auto& remote : remotes_) remote->ReleaseClosedConnection();
   }
-  std::string Trouble() const {
-    for (const auto& one : remotes_) {
-      if (!one->Trouble().empty()) return one->Trouble();
+  // The first gateway's reason for sending no records; empty if there is none.
+  std::string Fault() const {
+    for (const auto& remote : remotes_) {
+      if (!remote->Fault().empty()) return remote->Fault();
     }
     return {};
   }
-  // All that there is for one frame. Throws where that is nothing.
+  // Polls until every gateway has answered once, before the first frame. Throws if a gateway rejects the
+  // request or does not answer in time, or if the folders contain no records.
   void PollOnce(const std::vector<std::string>& folders) {
-    const Micros end = net::Now() + kFirstAnswer;
+    const Micros deadline = net::Now() + kFirstResponseTimeout;
     while (true) {
       Poll(Micros{20'000});
-      bool all = true;
-      for (const auto& one : remotes_) {
-        if (one->Refused()) throw std::runtime_error(one->Trouble());
-        all = all && one->Answered();
+      bool all_answered = true;
+      for (const auto& remote : remotes_) {
+        if (remote->IsRejected()) throw std::runtime_error(remote->Fault());
+        all_answered = all_answered && remote->HasAnswered();
       }
-      if (all) break;
-      if (net::Now() > end) throw std::runtime_error(Trouble().empty() ? "no answer" : Trouble());
+      if (all_answered) break;
+      if (net::Now() > deadline) throw std::runtime_error(Fault().empty() ? "no answer" : Fault());
     }
     if (folders_ && segments_ == 0)
       throw std::runtime_error(folders[0] + ": no records are here (NAME.START.NUMBER.tsrec)");
   }
-  timeline::Course course;
+  timeline::InstanceTimelines timelines;
 
  private:
   net::EventLoop loop_;
@@ -93,7 +95,7 @@
     ::keypad(stdscr, TRUE);
     ::set_escdelay(25);
     ::curs_set(0);
-    ::timeout(kTickMs);
+    ::timeout(kKeyTimeoutMs);
     if (::has_colors()) {
       ::start_color();
       ::use_default_colors();
@@ -179,13 +181,13 @@
 int RunConsole(const Values& values, const std::vector<std::string>& arguments) {
   if (arguments.empty() && values.count("from") == 0) throw Usage{"expected DIR... or --from"};
   console::View view;
-  if (values.count("at") > 0) view.held = TimeOption(values, "at");
-  Source source(values, arguments);
+  if (values.count("at") > 0) view.held_at = TimeOption(values, "at");
+  RecordSource source(values, arguments);
   source.PollOnce(arguments);
   if (values.count("once") > 0) {
     for (const console::Line& line :
-         console::Frame(source.course, view, net::UnixNow().SinceEpoch(), values["width"].as<unsigned>(),
-                        values["height"].as<unsigned>())) {
+         console::RenderFrame(source.timelines, view, net::UnixNow().SinceEpoch(),
+                              values["width"].as<unsigned>(), values["height"].as<unsigned>())) {
       std::cout << line.text << "\n";
     }
     return 0;
@@ -193,13 +195,13 @@
   if (::isatty(STDIN_FILENO) == 0 || ::isatty(STDOUT_FILENO) == 0)
     throw std::runtime_error("no terminal is here; --once prints a frame");
   Terminal terminal;
-  while (!view.over) {
+  while (!view.should_quit) {
     source.Poll(Micros{0});
-    view.source_trouble = source.Trouble();
-    terminal.Draw(console::Frame(source.course, view, net::UnixNow().SinceEpoch(),
-                                 static_cast<std::size_t>(COLS), static_cast<std::size_t>(LINES)));
+    view.source_fault = source.Fault();
+    terminal.Draw(console::RenderFrame(source.timelines, view, net::UnixNow().SinceEpoch(),
+                                       static_cast<std::size_t>(COLS), static_cast<std::size_t>(LINES)));
     const int key = terminal.Key();
-    if (key != ERR) console::Typed(view, key, net::UnixNow().SinceEpoch());
+    if (key != ERR) console::HandleKey(view, key, net::UnixNow().SinceEpoch());
   }
   return 0;
 }
--- a/src/cli/console.hpp
+++ b/src/cli/console.hpp
@@ -1,4 +1,4 @@
-// `tinspan console`: a fleet live, from folders of records or from a running gateway.
+// `tinspan console`: shows a fleet live, from folders of records or from running gateways.
 #pragma once
 
 #include "cli/command.hpp"
--- a/src/cli/report.cpp
+++ b/src/cli/report.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 namespace po = boost::program_options;
-constexpr Micros kAround{60'000'000};  // on either side of --around
+constexpr Micros kAroundMargin{60'000'000};  // on either side of --around
 
 }  // namespace
 
@@ -31,25 +31,25 @@
   const std::string format = values["format"].as<std::string>();
   if (format != "html" && format != "json")
     throw Usage{"option '--format': expected html or json, not '" + format + "'"};
-  timeline::StoryRules rules;
-  rules.from = TimeOption(values, "from");
-  rules.to = TimeOption(values, "to");
+  timeline::TimelineOptions options;
+  options.from = TimeOption(values, "from");
+  options.to = TimeOption(values, "to");
   if (const auto around = TimeOption(values, "around")) {
-    if (rules.from || rules.to) throw Usage{"option '--around': expected without --from and --to"};
-    rules.from = *around - kAround;
-    rules.to = *around + kAround;
+    if (options.from || options.to) throw Usage{"option '--around': expected without --from and --to"};
+    options.from = *around - kAroundMargin;
+    options.to = *around + kAroundMargin;
   }
-  if (rules.from && rules.to && *rules.from >= *rules.to)
+  if (options.from && options.to && *options.from >= *options.to)
     throw Usage{"option '--to': expected a time after --from"};
-  timeline::Course course;
-  ReadAll(arguments, course);
-  const timeline::Story story = timeline::Tell(course, rules);
-  if (story.instances.empty())
+  timeline::InstanceTimelines timelines;
+  ReadAll(arguments, timelines);
+  const timeline::FleetTimeline fleet = timeline::BuildFleetTimeline(timelines, options);
+  if (fleet.instances.empty())
     throw std::runtime_error(arguments[0] + ": nothing in these records can be read");
   const std::string text =
       format == "html"
-          ? report::ToHtml(story)
-          : report::ToJson(story).dump(1, ' ', false, nlohmann::ordered_json::error_handler_t::replace) +
+          ? report::ToHtml(fleet)
+          : report::ToJson(fleet).dump(1, ' ', false, nlohmann::ordered_json::error_handler_t::replace) +
                 "\n";
   if (values.count("output") == 0) {
     std::cout << text;
@@ -59,7 +59,7 @@
   std::ofstream out(path, std::ios::binary | std::ios::trunc);
   out << text << std::flush;
   if (!out) throw std::runtime_error(path + ": could not be written");
-  std::cout << "wrote " << path << ": " << story.sentences.front() << "\n";
+  std::cout << "wrote " << path << ": " << fleet.sentences.front() << "\n";
   return 0;
 }
 
--- a/src/cli/report.hpp
+++ b/src/cli/report.hpp
@@ -1,4 +1,4 @@
-// `tinspan report`: an incident retold from saved records, offline.
+// `tinspan report`: builds the incident report from saved records, offline.
 #pragma once
 
 #include "cli/command.hpp"
--- a/src/console/remote.hpp
+++ b/src/console/remote.hpp
@@ -1,4 +1,4 @@
-// Records of a running gateway over its operator's endpoint, GET /-/records, asked for again and again. I/O.
+// Polls the records of a running gateway from its operator endpoint, GET /-/records. I/O.
 #pragma once
 
 #include <memory>
@@ -11,38 +11,40 @@
 
 class Remote final : public net::Connection::Owner {
  public:
-  // `token`: the operator's. Records go to `sink`; a stream that breaks is taken up again where it was.
-  Remote(net::EventLoop& loop, const net::Endpoint& at, std::string token, record::Sink& sink);
+  // `token` is the operator's token. Records go to `sink`, which must outlive this object. After a failure
+  // the next request continues at the same offset.
+  Remote(net::EventLoop& loop, const net::Endpoint& endpoint, std::string token, record::Sink& sink);
   ~Remote();
 
-  // Why nothing comes, or empty.
-  const std::string& Trouble() const { return trouble_; }
-  bool Answered() const { return answered_; }  // once at least
-  // A status that asking again will not change: a wrong token, no such endpoint.
-  bool Refused() const { return refused_; }
-  void EndRound() { old_.reset(); }
+  // Why no records arrive; empty if they do.
+  const std::string& Fault() const { return fault_; }
+  bool HasAnswered() const { return has_answered_; }  // at least once
+  // The gateway answered with a status that a retry will not change: wrong token or no such endpoint.
+  bool IsRejected() const { return is_rejected_; }
+  // Call outside the event loop: a connection cannot be destroyed within its own callback.
+  void ReleaseClosedConnection() { closed_connection_.reset(); }
 
   void OnOpen(net::Connection& connection) override;
   void OnData(net::Connection& connection) override;
   void OnClosed(net::Connection& connection) override;
 
  private:
-  void Ask();
-  void Failed(std::string why);
-  void Take(std::string_view bytes);
+  void SendRequest();
+  void Fail(std::string reason);
+  void ReadSegmentBytes(std::string_view bytes);
 
   net::EventLoop& loop_;
-  const net::Endpoint at_;
+  const net::Endpoint endpoint_;
   const std::string token_;
   record::Sink& sink_;
-  std::unique_ptr<net::Connection> connection_, old_;
+  std::unique_ptr<net::Connection> connection_, closed_connection_;
   net::TimerQueue::Id timer_{};
   std::uint64_t offset_ = 0;
   record::SegmentName name_;
   std::unique_ptr<record::SegmentReader> reader_;
-  std::string trouble_;
-  bool answered_ = false;
-  bool refused_ = false;
+  std::string fault_;
+  bool has_answered_ = false;
+  bool is_rejected_ = false;
 };
 
 }  // namespace tinspan::console
--- a/src/report/json.cpp
+++ b/src/report/json.cpp
@@ -11,28 +11,38 @@
 using Json = nlohmann::ordered_json;
 using namespace timeline;
 
-constexpr std::size_t kMostBins = 600;
+constexpr std::size_t kMaxBuckets = 600;
 
 double Millis(Micros time) { return static_cast<double>(time.count()) / 1000; }
 
-Json Of(const Tally& tally) {
+Json ToJson(const Tally& tally) {
   Json ended = Json::object();
   for (std::uint32_t e = 0; e < record::kEndings; ++e) {
     if (tally.ended[e] > 0) ended[record::Name(static_cast<record::Ending>(e))] = tally.ended[e];
   }
-  return {{"name", tally.name},   {"came", tally.came},     {"repeats", tally.repeats}, {"lost", tally.lost},
-          {"asked", tally.asked}, {"earned", tally.earned}, {"share", tally.Share()},   {"ended", ended}};
+  return {{"name", tally.name},
+          {"came", tally.received},
+          {"repeats", tally.repeats},
+          {"lost", tally.lost},
+          {"asked", tally.requested_weight},
+          {"earned", tally.earned_weight},
+          {"share", tally.EarnedShare()},
+          {"ended", ended}};
 }
 
-Json Of(const Instance& one) {
+Json ToJson(const Instance& instance) {
   constexpr std::array kEnds{"stopped", "cut", "died", "open"};
-  Json out{{"name", one.name},          {"started", TimeText(Micros{one.incarnation})},
-           {"version", one.version},    {"from", TimeText(one.from)},
-           {"to", TimeText(one.to)},    {"end", kEnds[static_cast<std::size_t>(one.end)]},
-           {"came", one.came},          {"dropped_records", one.dropped},
-           {"reference", one.reference}};
-  if (one.offset) {
-    out["offset_ms"] = {{"least", Millis(one.offset->least)}, {"most", Millis(one.offset->most)}};
+  Json out{{"name", instance.name},
+           {"started", TimeText(Micros{instance.incarnation})},
+           {"version", instance.version},
+           {"from", TimeText(instance.from)},
+           {"to", TimeText(instance.to)},
+           {"end", kEnds[static_cast<std::size_t>(instance.end)]},
+           {"came", instance.received},
+           {"dropped_records", instance.dropped_records},
+           {"reference", instance.is_reference}};
+  if (instance.offset) {
+    out["offset_ms"] = {{"least", Millis(instance.offset->min)}, {"most", Millis(instance.offset->max)}};
   } else {
     out["offset_ms"] = nullptr;
   }
@@ -41,141 +51,142 @@
 
 }  // namespace
 
-std::vector<Bin> Bins(const Story& story, std::size_t most, Micros& width) {
-  constexpr std::array<std::int64_t, 9> kWidths{1, 2, 5, 10, 15, 30, 60, 300, 3600};
-  std::int64_t seconds = kWidths.back();
-  for (const std::int64_t one : kWidths) {
-    if (story.points.size() <= most * static_cast<std::size_t>(one)) {
-      seconds = one;
+std::vector<TimeBucket> TimeBuckets(const FleetTimeline& fleet, std::size_t max_buckets, Micros& width) {
+  constexpr std::array<std::int64_t, 9> kWidthSeconds{1, 2, 5, 10, 15, 30, 60, 300, 3600};
+  std::int64_t seconds = kWidthSeconds.back();
+  for (const std::int64_t candidate : kWidthSeconds) {
+    if (fleet.points.size() <= max_buckets * static_cast<std::size_t>(candidate)) {
+      seconds = candidate;
       break;
     }
   }
   width = Micros{seconds * 1'000'000};
-  std::vector<Bin> out;
-  for (const Point& point : story.points) {
+  std::vector<TimeBucket> out;
+  for (const ServicePoint& point : fleet.points) {
     const Micros at = point.at / width * width;
     if (out.empty() || out.back().at != at) {
-      out.push_back({at, std::vector<double>(point.asked.size()), std::vector<double>(point.asked.size()),
-                     std::vector<std::uint64_t>(point.asked.size()),
-                     std::vector<std::uint64_t>(point.asked.size())});
+      out.push_back({at, std::vector<double>(point.requested_weight.size()),
+                     std::vector<double>(point.requested_weight.size()),
+                     std::vector<std::uint64_t>(point.requested_weight.size()),
+                     std::vector<std::uint64_t>(point.requested_weight.size())});
     }
-    Bin& bin = out.back();
-    for (std::size_t c = 0; c < point.asked.size(); ++c) {
-      bin.asked[c] += point.asked[c];
-      bin.earned[c] += point.earned[c];
-      bin.refused[c] += point.refused[c];
-      bin.bad[c] += point.bad[c];
+    TimeBucket& bucket = out.back();
+    for (std::size_t c = 0; c < point.requested_weight.size(); ++c) {
+      bucket.requested_weight[c] += point.requested_weight[c];
+      bucket.earned_weight[c] += point.earned_weight[c];
+      bucket.refused[c] += point.refused[c];
+      bucket.failed[c] += point.failed[c];
     }
   }
   return out;
 }
 
-Json ToJson(const Story& story) {
+Json ToJson(const FleetTimeline& fleet) {
   Json out;
   out["schema"] = "tinspan-report-1";
-  out["from"] = TimeText(story.from);
-  out["to"] = TimeText(story.to);
-  out["sentences"] = story.sentences;
-  out["service"] = {{"figure", story.Service()},        {"whole", story.whole},
-                    {"worst_10s", story.worst_ten},     {"worst_10s_at", TimeText(story.worst_ten_at)},
-                    {"worst_class", story.worst_class}, {"usual", story.usual}};
-  out["all"] = Of(story.all);
+  out["from"] = TimeText(fleet.from);
+  out["to"] = TimeText(fleet.to);
+  out["sentences"] = fleet.sentences;
+  out["service"] = {{"figure", fleet.ServiceFigure()},        {"whole", fleet.whole_share},
+                    {"worst_10s", fleet.worst_10s_share},     {"worst_10s_at", TimeText(fleet.worst_10s_at)},
+                    {"worst_class", fleet.worst_class_share}, {"usual", fleet.median_share}};
+  out["all"] = ToJson(fleet.total);
   out["classes"] = Json::array();
-  for (const Tally& tally : story.classes) out["classes"].push_back(Of(tally));
+  for (const Tally& tally : fleet.classes) out["classes"].push_back(ToJson(tally));
   out["instances"] = Json::array();
-  for (const Instance& one : story.instances) out["instances"].push_back(Of(one));
-  out["impossible"] = story.impossible;
+  for (const Instance& instance : fleet.instances) out["instances"].push_back(ToJson(instance));
+  out["impossible"] = fleet.contradictions;
   out["incidents"] = Json::array();
-  for (const Incident& one : story.incidents) {
+  for (const Incident& incident : fleet.incidents) {
     Json causes = Json::array();
-    for (const Cause& cause : one.causes) {
+    for (const Cause& cause : incident.causes) {
       causes.push_back({{"at", TimeText(cause.at)},
-                        {"uncertain_ms", Millis(cause.uncertain)},
-                        {"what", cause.what},
+                        {"uncertain_ms", Millis(cause.uncertainty)},
+                        {"what", cause.name},
                         {"evidence", cause.evidence}});
     }
-    out["incidents"].push_back({{"from", TimeText(one.from)},
-                                {"to", TimeText(one.to)},
-                                {"worst_share", one.worst},
-                                {"missed", one.missed},
+    out["incidents"].push_back({{"from", TimeText(incident.from)},
+                                {"to", TimeText(incident.to)},
+                                {"worst_share", incident.worst_share},
+                                {"missed", incident.missed_weight},
                                 {"causes", causes}});
   }
   out["events"] = Json::array();
-  for (const Event& one : story.events) {
-    Json event{{"at", TimeText(one.at)},
-               {"uncertain_ms", Millis(one.uncertain)},
-               {"kind", Name(one.kind)},
-               {"who", one.who},
-               {"text", one.text}};
-    if (!one.heard.empty()) event["heard"] = one.heard;
-    if (one.heard.size() > 1) event["last_heard_ms"] = Millis(one.last_heard);
-    out["events"].push_back(std::move(event));
+  for (const Event& event : fleet.events) {
+    Json entry{{"at", TimeText(event.at)},
+               {"uncertain_ms", Millis(event.uncertainty)},
+               {"kind", Name(event.kind)},
+               {"who", event.subject},
+               {"text", event.text}};
+    if (!event.received_by.empty()) entry["heard"] = event.received_by;
+    if (event.received_by.size() > 1) entry["last_heard_ms"] = Millis(event.last_received_after);
+    out["events"].push_back(std::move(entry));
   }
   Micros width{0};
-  const std::vector<Bin> bins = Bins(story, kMostBins, width);
+  const std::vector<TimeBucket> buckets = TimeBuckets(fleet, kMaxBuckets, width);
   out["bin_ms"] = Millis(width);
   out["bins"] = Json::array();
-  for (const Bin& bin : bins) {
-    out["bins"].push_back({{"at", TimeText(bin.at)},
-                           {"asked", bin.asked},
-                           {"earned", bin.earned},
-                           {"refused", bin.refused},
-                           {"bad", bin.bad}});
+  for (const TimeBucket& bucket : buckets) {
+    out["bins"].push_back({{"at", TimeText(bucket.at)},
+                           {"asked", bucket.requested_weight},
+                           {"earned", bucket.earned_weight},
+                           {"refused", bucket.refused},
+                           {"bad", bucket.failed}});
   }
   out["latency"] = Json::array();
-  for (const Latency& one : story.latency) {
-    out["latency"].push_back({{"at", TimeText(one.at)},
-                              {"class", one.class_id},
-                              {"p50_ms", Millis(one.p50)},
-                              {"p99_ms", Millis(one.p99)}});
+  for (const ClassLatency& latency : fleet.latency) {
+    out["latency"].push_back({{"at", TimeText(latency.at)},
+                              {"class", latency.class_id},
+                              {"p50_ms", Millis(latency.p50)},
+                              {"p99_ms", Millis(latency.p99)}});
   }
   out["servers"] = Json::array();
-  for (const ServerStory& one : story.servers) {
+  for (const ServerTimeline& server : fleet.servers) {
     Json bands = Json::array(), load = Json::array();
-    for (const auto& band : one.bands) {
+    for (const auto& band : server.bands) {
       bands.push_back(
           {{"from", TimeText(band.from)}, {"to", TimeText(band.to)}, {"state", record::Name(band.state)}});
     }
-    for (const auto& [at, cell] : one.load)
-      load.push_back({TimeText(at), cell.attempts, cell.bad, cell.full});
-    out["servers"].push_back({{"name", one.name},
-                              {"address", one.address},
-                              {"zone", one.zone},
-                              {"kind", one.kind},
-                              {"attempts", one.attempts},
-                              {"bad", one.bad},
-                              {"full", one.full},
+    for (const auto& [at, counts] : server.load)
+      load.push_back({TimeText(at), counts.attempts, counts.failed, counts.rejected});
+    out["servers"].push_back({{"name", server.name},
+                              {"address", server.address},
+                              {"zone", server.zone},
+                              {"kind", server.kind},
+                              {"attempts", server.attempts},
+                              {"bad", server.failed},
+                              {"full", server.rejected},
                               {"bands", bands},
                               {"load", load}});
   }
   out["drains"] = Json::array();
-  for (const DrainLine& one : story.drains) {
-    out["drains"].push_back({{"server", one.server},
-                             {"instance", one.instance},
-                             {"told", TimeText(one.told)},
-                             {"sent_after", one.sent},
-                             {"last_after_ms", Millis(one.last)},
-                             {"kept", one.kept}});
+  for (const DrainOutcome& drain : fleet.drains) {
+    out["drains"].push_back({{"server", drain.server},
+                             {"instance", drain.instance},
+                             {"told", TimeText(drain.received_at)},
+                             {"sent_after", drain.sent_after},
+                             {"last_after_ms", Millis(drain.last_sent_after)},
+                             {"kept", drain.within_limit}});
   }
   out["purges"] = Json::array();
-  for (const PurgeLine& one : story.purges) {
-    out["purges"].push_back({{"what", one.what},
-                             {"instance", one.instance},
-                             {"told", TimeText(one.told)},
-                             {"served_older", one.served},
-                             {"last_sent_after_ms", Millis(one.last_sent)},
-                             {"last_served_after_ms", Millis(one.last_served)},
-                             {"kept", one.kept}});
+  for (const PurgeOutcome& purge : fleet.purges) {
+    out["purges"].push_back({{"what", purge.subject},
+                             {"instance", purge.instance},
+                             {"told", TimeText(purge.received_at)},
+                             {"served_older", purge.older_copies_served},
+                             {"last_sent_after_ms", Millis(purge.last_sent_after)},
+                             {"last_served_after_ms", Millis(purge.last_served_after)},
+                             {"kept", purge.within_limit}});
   }
   out["worst"] = Json::array();
-  for (const WorstLine& one : story.worst) {
+  for (const WorstRequest& request : fleet.worst_requests) {
     wire::Record record;
-    *record.mutable_trace() = one.trace;
-    Json trace = record::ToJson(*one.book, one.at, record);
-    trace["instance"] = one.instance;
+    *record.mutable_trace() = request.trace;
+    Json trace = record::ToJson(*request.book, request.at, record);
+    trace["instance"] = request.instance;
     out["worst"].push_back(std::move(trace));
   }
-  out["troubles"] = story.troubles;
+  out["troubles"] = fleet.read_faults;
   return out;
 }
 
--- a/src/report/report.hpp
+++ b/src/report/report.hpp
@@ -1,26 +1,29 @@
-// A story as data and as one page that opens offline. Pure: a story in, text out.
+// The incident report: a fleet timeline as JSON or as one HTML page that works offline. Pure.
 #pragma once
 
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "timeline/story.hpp"
+#include "timeline/fleet_timeline.hpp"
 
 namespace tinspan::report {
 
-// As docs/schema/report.schema.json describes.
-nlohmann::ordered_json ToJson(const timeline::Story& story);
+// In the format of docs/schema/report.schema.json.
+nlohmann::ordered_json ToJson(const timeline::FleetTimeline& fleet);
 
-// One self-contained HTML file: no network, readable without JavaScript (tables hold every figure), in print,
-// in light and dark, from 400 pixels of width on.
-std::string ToHtml(const timeline::Story& story);
+// One self-contained HTML file. It loads nothing from the network, is readable without JavaScript (tables
+// contain every figure), in print, in light and dark mode, and from a width of 400 pixels on.
+std::string ToHtml(const timeline::FleetTimeline& fleet);
 
-// The story's seconds in at most `most` equal bins, for tables and charts.
-struct Bin {
+// How clients were served within one bucket of equal width, for tables and charts.
+struct TimeBucket {
   Micros at{0};
-  std::vector<double> asked, earned;
-  std::vector<std::uint64_t> refused, bad;
+  std::vector<double> requested_weight, earned_weight;  // per class
+  std::vector<std::uint64_t> refused, failed;           // per class
 };
-std::vector<Bin> Bins(const timeline::Story& story, std::size_t most, Micros& width);
+// Combines the timeline's seconds into at most `max_buckets` buckets, as far as the widest bucket of one hour
+// allows; `width` receives their width.
+std::vector<TimeBucket> TimeBuckets(const timeline::FleetTimeline& fleet, std::size_t max_buckets,
+                                    Micros& width);
 
 }  // namespace tinspan::report
--- a/src/timeline/events.cpp
+++ b/src/timeline/events.cpp
@@ -1,5 +1,5 @@
-// What happened, in order: lives of instances, servers' states, purges, and what was still sent or served
-// after.
+// The events in order of time (starts and stops of instances, server states, purges), the servers' timelines,
+// and what was still sent or served after drains and purges.
 #include <algorithm>
 #include <array>
 #include <set>
@@ -10,157 +10,181 @@
 namespace tinspan::timeline {
 namespace {
 
-constexpr Micros kSameWord{3'000'000};  // the same change heard by several within this is one
-constexpr Micros kWave{2'000'000};      // purges that follow each other within this are one wave...
-constexpr std::size_t kWavePurges = 8;  // ...from so many on
+// The same change, received by several instances within this time, is one event.
+constexpr Micros kSameChangeWindow{3'000'000};
+constexpr Micros kPurgeWaveGap{2'000'000};   // purges at most this far apart belong to one wave
+constexpr std::size_t kMinPurgesInWave = 8;  // fewer are not a wave
 
-struct Heard {
+// The receipt of one change by one incarnation.
+struct Observation {
   Micros at{0};
-  std::size_t life = 0;
+  std::size_t incarnation = 0;
 };
 
-// Puts together what several instances heard of one thing.
-template <class Key, class Make>
-void Gathered(const Merged& merged, std::map<Key, std::vector<Heard>>& heard, const Story& story, Make make,
-              std::vector<Event>& out) {
-  for (auto& [key, list] : heard) {
-    std::stable_sort(list.begin(), list.end(), [](const Heard& a, const Heard& b) { return a.at < b.at; });
+// Combines what several instances received of the same change into one event.
+template <class Key, class MakeEvent>
+void GroupObservations(const MergedTimelines& merged, std::map<Key, std::vector<Observation>>& observations,
+                       const FleetTimeline& fleet, MakeEvent make_event, std::vector<Event>& out) {
+  for (auto& [key, list] : observations) {
+    std::stable_sort(list.begin(), list.end(),
+                     [](const Observation& a, const Observation& b) { return a.at < b.at; });
     for (std::size_t i = 0; i < list.size();) {
-      std::set<std::size_t> by;
+      std::set<std::size_t> observers;
       std::size_t j = i;
-      for (; j < list.size() && list[j].at - list[i].at <= kSameWord && by.insert(list[j].life).second; ++j) {
+      for (; j < list.size() && list[j].at - list[i].at <= kSameChangeWindow &&
+             observers.insert(list[j].incarnation).second;
+           ++j) {
       }
-      Event event = make(key);
+      Event event = make_event(key);
       event.at = list[i].at;
-      event.uncertain = merged.uncertain[list[i].life];
-      for (std::size_t k = i; k < j; ++k) event.heard.push_back(story.instances[list[k].life].name);
-      event.last_heard = list[j - 1].at - list[i].at;
+      event.uncertainty = merged.uncertainty[list[i].incarnation];
+      for (std::size_t k = i; k < j; ++k)
+        event.received_by.push_back(fleet.instances[list[k].incarnation].name);
+      event.last_received_after = list[j - 1].at - list[i].at;
       out.push_back(std::move(event));
       i = j;
     }
   }
 }
 
-std::string NameOf(const Course& course, ServerKey key) {
-  const auto found = course.Servers().find(key);
-  return found == course.Servers().end() ? "server " + std::to_string(key % 100'000) : found->second.name;
+std::string ServerName(const InstanceTimelines& timelines, ServerKey key) {
+  const auto found = timelines.Servers().find(key);
+  return found == timelines.Servers().end() ? "server " + std::to_string(key % 100'000) : found->second.name;
 }
 
-void TellLives(const Merged& merged, std::vector<Event>& out, const Story& story) {
-  for (std::size_t i = 0; i < merged.lives.size(); ++i) {
-    const Life& life = *merged.lives[i];
+void BuildLifecycleEvents(const MergedTimelines& merged, std::vector<Event>& out,
+                          const FleetTimeline& fleet) {
+  for (std::size_t i = 0; i < merged.incarnations.size(); ++i) {
+    const Incarnation& incarnation = *merged.incarnations[i];
     const auto add = [&](Micros at, EventKind kind, std::string text) {
-      out.push_back({merged.At(i, at), merged.uncertain[i], kind, life.name, std::move(text), {}, Micros{0}});
+      out.push_back({merged.ReferenceTime(i, at),
+                     merged.uncertainty[i],
+                     kind,
+                     incarnation.name,
+                     std::move(text),
+                     {},
+                     Micros{0}});
     };
-    for (const Life::Turn& turn : life.turns) {
-      switch (turn.what) {
+    for (const Incarnation::LifecycleEvent& event : incarnation.lifecycle_events) {
+      switch (event.kind) {
         case wire::Life::STARTED:
-          add(turn.at, EventKind::kStarted, life.name + " started, version " + life.book.Header().version());
+          add(event.at, EventKind::kStarted,
+              incarnation.name + " started, version " + incarnation.book.Header().version());
           break;
         case wire::Life::SIGNALLED:
-          add(turn.at, EventKind::kSignalled, life.name + " got signal " + std::to_string(turn.signal));
+          add(event.at, EventKind::kSignalled,
+              incarnation.name + " got signal " + std::to_string(event.signal));
           break;
         case wire::Life::RELOADED:
-          add(turn.at, EventKind::kReloaded, life.name + " read its configuration anew");
+          add(event.at, EventKind::kReloaded, incarnation.name + " read its configuration anew");
           break;
         case wire::Life::RELOAD_REFUSED:
-          add(turn.at, EventKind::kReloadRefused,
-              life.name + " kept its old configuration: the new one was refused");
+          add(event.at, EventKind::kReloadRefused,
+              incarnation.name + " kept its old configuration: the new one was refused");
           break;
         case wire::Life::STOPPED:
-          add(turn.at, EventKind::kStopped, life.name + " stopped with all answered");
+          add(event.at, EventKind::kStopped, incarnation.name + " stopped with all answered");
           break;
         case wire::Life::CUT:
-          add(turn.at, EventKind::kCut,
-              life.name + " stopped with " + std::to_string(turn.open) + " requests open");
+          add(event.at, EventKind::kCut,
+              incarnation.name + " stopped with " + std::to_string(event.open_requests) + " requests open");
           break;
         default:
           break;
       }
     }
-    for (const Life::Step& step : life.steps) {
-      add(step.at, EventKind::kClockStep, "the clock of " + life.name + " moved by " + Seconds(step.by));
+    for (const Incarnation::ClockStep& step : incarnation.clock_steps) {
+      add(step.at, EventKind::kClockStep,
+          "the clock of " + incarnation.name + " moved by " + FormatSeconds(step.by));
     }
-    for (const Micros gap : life.gaps) {
-      add(gap, EventKind::kGap, life.name + " could not record everything before this");
+    for (const Micros gap : incarnation.gaps) {
+      add(gap, EventKind::kGap, incarnation.name + " could not record everything before this");
     }
-    if (merged.died[i]) {
-      // Records are handed to the disk ten times a second, and the heart beats once.
-      Event event{
-          *merged.died[i], merged.uncertain[i] + Micros{1'000'000}, EventKind::kDied, life.name, "", {},
-          Micros{0}};
-      event.text = life.name + " died with " + std::to_string(life.open) +
-                   (life.open == 1 ? " request" : " requests") + " open: its records end without a word";
-      for (const Instance& other : story.instances) {
-        if (other.to > event.at + Micros{2'000'000} && other.from < event.at && other.name != life.name) {
-          event.heard.push_back(other.name);
+    if (merged.died_at[i]) {
+      // Added uncertainty: records are written to disk ten times a second, and a heartbeat is recorded once a
+      // second.
+      Event event{*merged.died_at[i],
+                  merged.uncertainty[i] + Micros{1'000'000},
+                  EventKind::kDied,
+                  incarnation.name,
+                  "",
+                  {},
+                  Micros{0}};
+      event.text = incarnation.name + " died with " + std::to_string(incarnation.open_requests) +
+                   (incarnation.open_requests == 1 ? " request" : " requests") +
+                   " open: its records end without a word";
+      for (const Instance& other : fleet.instances) {
+        if (other.to > event.at + Micros{2'000'000} && other.from < event.at &&
+            other.name != incarnation.name) {
+          event.received_by.push_back(other.name);
         }
       }
-      if (!event.heard.empty())
-        event.text += " while " + std::to_string(event.heard.size()) + " others went on";
+      if (!event.received_by.empty())
+        event.text += " while " + std::to_string(event.received_by.size()) + " others went on";
       out.push_back(std::move(event));
     }
   }
 }
 
-void TellMembers(const Course& course, const Merged& merged, std::vector<Event>& out, const Story& story) {
+void BuildServerStateEvents(const InstanceTimelines& timelines, const MergedTimelines& merged,
+                            std::vector<Event>& out, const FleetTimeline& fleet) {
   using Key = std::pair<ServerKey, EventKind>;
-  std::map<Key, std::vector<Heard>> heard;
-  for (std::size_t i = 0; i < merged.lives.size(); ++i) {
-    for (const Life::Change& change : merged.lives[i]->changes) {
-      if (change.first && change.state == Availability::kUp)
-        continue;  // it was there when the instance began
-      const bool cold = change.state == Availability::kUp && change.before == Availability::kRemoved;
+  std::map<Key, std::vector<Observation>> observations;
+  for (std::size_t i = 0; i < merged.incarnations.size(); ++i) {
+    for (const Incarnation::ServerStateChange& change : merged.incarnations[i]->server_changes) {
+      if (change.is_in_first_list && change.state == Availability::kUp)
+        continue;  // it was up when the instance started
+      const bool is_cold = change.state == Availability::kUp && change.previous == Availability::kRemoved;
       const EventKind kind = change.state == Availability::kDraining  ? EventKind::kDraining
                              : change.state == Availability::kRemoved ? EventKind::kGone
-                             : cold                                   ? EventKind::kCold
+                             : is_cold                                ? EventKind::kCold
                                                                       : EventKind::kUp;
-      heard[{change.server, kind}].push_back({merged.At(i, change.at), i});
+      observations[{change.server, kind}].push_back({merged.ReferenceTime(i, change.at), i});
     }
   }
-  Gathered(
-      merged, heard, story,
+  GroupObservations(
+      merged, observations, fleet,
       [&](const Key& key) {
         Event event;
         event.kind = key.second;
-        event.who = NameOf(course, key.first);
-        event.text = event.who + (key.second == EventKind::kDraining ? " was told to be draining"
-                                  : key.second == EventKind::kGone   ? " was told to be gone"
-                                  : key.second == EventKind::kCold   ? " came, cold"
-                                                                     : " was told to be up again");
+        event.subject = ServerName(timelines, key.first);
+        event.text = event.subject + (key.second == EventKind::kDraining ? " was told to be draining"
+                                      : key.second == EventKind::kGone   ? " was told to be gone"
+                                      : key.second == EventKind::kCold   ? " came, cold"
+                                                                         : " was told to be up again");
         return event;
       },
       out);
 }
 
-void TellPurges(const Merged& merged, std::vector<Event>& out, const Story& story) {
+void BuildPurgeEvents(const MergedTimelines& merged, std::vector<Event>& out, const FleetTimeline& fleet) {
   using Key = std::pair<std::uint64_t, std::uint64_t>;
-  std::map<Key, std::vector<Heard>> heard;
-  for (std::size_t i = 0; i < merged.lives.size(); ++i) {
-    for (const Life::Purge& purge : merged.lives[i]->purges) {
-      heard[{purge.group, purge.object}].push_back({merged.At(i, purge.at), i});
+  std::map<Key, std::vector<Observation>> observations;
+  for (std::size_t i = 0; i < merged.incarnations.size(); ++i) {
+    for (const Incarnation::Purge& purge : merged.incarnations[i]->purges) {
+      observations[{purge.group, purge.object}].push_back({merged.ReferenceTime(i, purge.at), i});
     }
   }
   std::vector<Event> purges;
-  Gathered(
-      merged, heard, story,
+  GroupObservations(
+      merged, observations, fleet,
       [&](const Key& key) {
         Event event;
         event.kind = EventKind::kPurge;
-        event.text = PurgeName(key.first, key.second) + " was purged";
+        event.text = PurgeSubject(key.first, key.second) + " was purged";
         return event;
       },
       purges);
   std::stable_sort(purges.begin(), purges.end(), [](const Event& a, const Event& b) { return a.at < b.at; });
   for (std::size_t i = 0; i < purges.size();) {
     std::size_t j = i + 1;
-    while (j < purges.size() && purges[j].at - purges[j - 1].at <= kWave) ++j;
-    if (j - i >= kWavePurges) {
+    while (j < purges.size() && purges[j].at - purges[j - 1].at <= kPurgeWaveGap) ++j;
+    if (j - i >= kMinPurgesInWave) {
       std::size_t groups = 0;
       for (std::size_t k = i; k < j; ++k) groups += purges[k].text.starts_with("group") ? 1 : 0;
-      Event wave{purges[i].at, purges[i].uncertain, EventKind::kPurgeWave, "", "", {}, Micros{0}};
+      Event wave{purges[i].at, purges[i].uncertainty, EventKind::kPurgeWave, "", "", {}, Micros{0}};
       wave.text = "a wave of " + std::to_string(j - i) + " purges began, " + std::to_string(groups) +
-                  " of them of groups, over " + Seconds(purges[j - 1].at - purges[i].at);
+                  " of them of groups, over " + FormatSeconds(purges[j - 1].at - purges[i].at);
       out.push_back(std::move(wave));
     }
     i = j;
@@ -178,38 +202,39 @@
   return place < kNames.size() ? kNames[place] : "unknown";
 }
 
-void TellEvents(const Course& course, const Merged& merged, Story& story) {
+void BuildEvents(const InstanceTimelines& timelines, const MergedTimelines& merged, FleetTimeline& fleet) {
   std::vector<Event> events;
-  TellLives(merged, events, story);
-  TellMembers(course, merged, events, story);
-  TellPurges(merged, events, story);
-  std::erase_if(events, [&](const Event& event) { return event.at < story.from || event.at > story.to; });
+  BuildLifecycleEvents(merged, events, fleet);
+  BuildServerStateEvents(timelines, merged, events, fleet);
+  BuildPurgeEvents(merged, events, fleet);
+  std::erase_if(events, [&](const Event& event) { return event.at < fleet.from || event.at > fleet.to; });
   std::stable_sort(events.begin(), events.end(), [](const Event& a, const Event& b) { return a.at < b.at; });
-  story.events = std::move(events);
+  fleet.events = std::move(events);
 }
 
-void TellServers(const Course& course, const Merged& merged, Story& story) {
+void BuildServers(const InstanceTimelines& timelines, const MergedTimelines& merged, FleetTimeline& fleet) {
   std::map<ServerKey, std::vector<std::pair<Micros, Availability>>> states;
-  std::map<ServerKey, std::map<Micros, ServerCell>> loads;
-  for (std::size_t i = 0; i < merged.lives.size(); ++i) {
-    const Life& life = *merged.lives[i];
-    for (const Life::Change& change : life.changes) {
-      states[change.server].emplace_back(merged.At(i, change.at), change.state);
+  std::map<ServerKey, std::map<Micros, ServerCounts>> loads;
+  for (std::size_t i = 0; i < merged.incarnations.size(); ++i) {
+    const Incarnation& incarnation = *merged.incarnations[i];
+    for (const Incarnation::ServerStateChange& change : incarnation.server_changes) {
+      states[change.server].emplace_back(merged.ReferenceTime(i, change.at), change.state);
     }
-    for (const auto& [key, bins] : life.servers) {
-      for (const auto& [bin, cell] : bins) {
-        ServerCell& sum =
-            loads[key][merged.At(i, bin * kServerBin + kServerBin / 2) / kServerBin * kServerBin];
-        sum.attempts += cell.attempts;
-        sum.bad += cell.bad;
-        sum.full += cell.full;
+    for (const auto& [key, buckets] : incarnation.server_counts) {
+      for (const auto& [bucket, counts] : buckets) {
+        ServerCounts& sum =
+            loads[key][merged.ReferenceTime(i, bucket * kServerBucketWidth + kServerBucketWidth / 2) /
+                       kServerBucketWidth * kServerBucketWidth];
+        sum.attempts += counts.attempts;
+        sum.failed += counts.failed;
+        sum.rejected += counts.rejected;
       }
     }
   }
   for (auto& [key, changes] : states) {
-    const auto found = course.Servers().find(key);
-    if (found == course.Servers().end()) continue;
-    ServerStory& server = story.servers.emplace_back();
+    const auto found = timelines.Servers().find(key);
+    if (found == timelines.Servers().end()) continue;
+    ServerTimeline& server = fleet.servers.emplace_back();
     server.name = found->second.name;
     server.address = found->second.address;
     server.zone = found->second.zone;
@@ -219,27 +244,29 @@
     for (const auto& [at, state] : changes) {
       if (!server.bands.empty() && server.bands.back().state == state) continue;
       if (!server.bands.empty()) server.bands.back().to = at;
-      server.bands.push_back({at, story.to, state});
+      server.bands.push_back({at, fleet.to, state});
     }
-    for (const auto& [at, cell] : loads[key]) {
-      if (at + kServerBin < story.from || at > story.to) continue;
-      server.attempts += cell.attempts;
-      server.bad += cell.bad;
-      server.full += cell.full;
-      server.load.emplace_back(at, cell);
+    for (const auto& [at, counts] : loads[key]) {
+      if (at + kServerBucketWidth < fleet.from || at > fleet.to) continue;
+      server.attempts += counts.attempts;
+      server.failed += counts.failed;
+      server.rejected += counts.rejected;
+      server.load.emplace_back(at, counts);
     }
   }
-  std::stable_sort(story.servers.begin(), story.servers.end(),
-                   [](const ServerStory& a, const ServerStory& b) { return a.attempts > b.attempts; });
-  for (std::size_t i = 0; i < merged.lives.size(); ++i) {
-    const Life& life = *merged.lives[i];
-    for (const Life::Drained& one : life.drained) {
-      story.drains.push_back(
-          {NameOf(course, one.server), life.name, merged.At(i, one.told), one.sent, one.last, true});
+  std::stable_sort(fleet.servers.begin(), fleet.servers.end(),
+                   [](const ServerTimeline& a, const ServerTimeline& b) { return a.attempts > b.attempts; });
+  for (std::size_t i = 0; i < merged.incarnations.size(); ++i) {
+    const Incarnation& incarnation = *merged.incarnations[i];
+    for (const Incarnation::DrainResult& result : incarnation.drain_results) {
+      fleet.drains.push_back({ServerName(timelines, result.server), incarnation.name,
+                              merged.ReferenceTime(i, result.received_at), result.sent_after,
+                              result.last_sent_after, true});
     }
-    for (const Life::Held& one : life.held) {
-      story.purges.push_back({PurgeName(one.group, one.object), life.name, merged.At(i, one.told), one.served,
-                              one.last_sent, one.last_served, true});
+    for (const Incarnation::PurgeResult& result : incarnation.purge_results) {
+      fleet.purges.push_back({PurgeSubject(result.group, result.object), incarnation.name,
+                              merged.ReferenceTime(i, result.received_at), result.older_copies_served,
+                              result.last_sent_after, result.last_served_after, true});
     }
   }
 }
--- a/src/timeline/merge.cpp
+++ b/src/timeline/merge.cpp
@@ -11,18 +11,23 @@
 namespace tinspan::timeline {
 namespace {
 
-// Pairs all who saw the same thing; where many did, each with its neighbours only.
-constexpr std::size_t kMostPairs = 8;
+// Up to this many observers of the same update are all paired with each other; beyond it, each only with the
+// next.
+constexpr std::size_t kMaxFullyPaired = 8;
 
 template <class Key>
-void Pair(const std::map<Key, std::vector<std::pair<std::size_t, Micros>>>& seen, Micros spread,
-          const std::string& what, std::vector<Evidence>& out) {
-  for (const auto& [key, by] : seen) {
-    for (std::size_t i = 0; i < by.size(); ++i) {
-      const std::size_t until = by.size() <= kMostPairs ? by.size() : std::min(by.size(), i + 2);
-      for (std::size_t j = i + 1; j < until; ++j) {
-        const Micros apart = by[j].second - by[i].second;
-        out.push_back({by[i].first, by[j].first, {apart - spread, apart + spread}, what});
+void PairObservations(const std::map<Key, std::vector<std::pair<std::size_t, Micros>>>& observations,
+                      Micros spread, const std::string& description, std::vector<Evidence>& out) {
+  for (const auto& [key, observers] : observations) {
+    for (std::size_t i = 0; i < observers.size(); ++i) {
+      const std::size_t end =
+          observers.size() <= kMaxFullyPaired ? observers.size() : std::min(observers.size(), i + 2);
+      for (std::size_t j = i + 1; j < end; ++j) {
+        const Micros difference = observers[j].second - observers[i].second;
+        out.push_back({observers[i].first,
+                       observers[j].first,
+                       {difference - spread, difference + spread},
+                       description});
       }
     }
   }
@@ -30,123 +35,131 @@
 
 }  // namespace
 
-std::string Seconds(Micros time) {
+std::string FormatSeconds(Micros time) {
   char text[32];
   std::snprintf(text, sizeof text, "%.2f s", static_cast<double>(time.count()) / 1e6);
   return text;
 }
-std::string Percent(double share) {
+std::string FormatPercent(double share) {
   char text[32];
   std::snprintf(text, sizeof text, "%.1f%%", 100 * share);
   return text;
 }
-std::string PurgeName(std::uint64_t group, std::uint64_t object) {
+std::string PurgeSubject(std::uint64_t group, std::uint64_t object) {
   if (object != 0) return "object " + record::Hex(object);
   return "group " + (group < 100'000 ? std::to_string(group) : record::Hex(group));
 }
 
-std::vector<Evidence> Gather(const std::vector<const Life*>& lives, const StoryRules& rules) {
-  using Seen = std::vector<std::pair<std::size_t, Micros>>;
-  std::map<std::pair<std::string, std::uint64_t>, Seen> words;
-  std::map<std::tuple<std::int64_t, std::uint64_t, std::uint64_t>, Seen> purges;
-  for (std::size_t i = 0; i < lives.size(); ++i) {
-    std::map<std::string, std::uint64_t> heard;  // by source: the version last heard
-    for (const Life::Word& word : lives[i]->words) {
-      if (word.version == 0) continue;
-      const auto [place, first] = heard.try_emplace(word.source, word.version);
-      // The first list is asked for at the start, whenever it was made; of a version told in parts the first
-      // counts.
-      if (first || word.version <= place->second) continue;
-      place->second = word.version;
-      words[{word.source, word.version}].emplace_back(i, word.at);
+std::vector<Evidence> GatherClockEvidence(const std::vector<const Incarnation*>& incarnations,
+                                          const TimelineOptions& options) {
+  using Observations = std::vector<std::pair<std::size_t, Micros>>;
+  std::map<std::pair<std::string, std::uint64_t>, Observations> updates;
+  std::map<std::tuple<std::int64_t, std::uint64_t, std::uint64_t>, Observations> purges;
+  for (std::size_t i = 0; i < incarnations.size(); ++i) {
+    std::map<std::string, std::uint64_t> last_versions;  // the version received last, by source
+    for (const Incarnation::SourceUpdate& update : incarnations[i]->source_updates) {
+      if (update.version == 0) continue;
+      const auto [place, is_first] = last_versions.try_emplace(update.source, update.version);
+      // An instance fetches its first list at its start, regardless of when the version was made, so that
+      // list says nothing about the clock. Of a version received in parts, the first part counts.
+      if (is_first || update.version <= place->second) continue;
+      place->second = update.version;
+      updates[{update.source, update.version}].emplace_back(i, update.at);
     }
-    std::map<std::tuple<std::int64_t, std::uint64_t, std::uint64_t>, bool> once;
-    for (const Life::Purge& purge : lives[i]->purges) {
-      const std::tuple key(purge.made.count(), purge.group, purge.object);
-      if (!std::exchange(once[key], true)) purges[key].emplace_back(i, purge.at);
+    std::map<std::tuple<std::int64_t, std::uint64_t, std::uint64_t>, bool> is_counted;
+    for (const Incarnation::Purge& purge : incarnations[i]->purges) {
+      const std::tuple key(purge.issued_at.count(), purge.group, purge.object);
+      if (!std::exchange(is_counted[key], true)) purges[key].emplace_back(i, purge.at);
     }
   }
   std::vector<Evidence> out;
-  Pair(words, rules.spread, "a version of the member list told to both", out);
-  Pair(purges, rules.spread, "a purge told to both", out);
+  PairObservations(updates, options.max_update_spread, "a version of the member list told to both", out);
+  PairObservations(purges, options.max_update_spread, "a purge told to both", out);
   return out;
 }
 
-Merged Merge(const Course& course, const StoryRules& rules, Story& story) {
-  Merged out;
-  for (const auto& [key, life] : course.Lives()) {
-    if (life.records > 0 && life.book.Header().format() > 0) out.lives.push_back(&life);
+MergedTimelines MergeTimelines(const InstanceTimelines& timelines, const TimelineOptions& options,
+                               FleetTimeline& fleet) {
+  MergedTimelines out;
+  for (const auto& [key, incarnation] : timelines.Incarnations()) {
+    if (incarnation.record_count > 0 && incarnation.book.Header().format() > 0)
+      out.incarnations.push_back(&incarnation);
   }
-  const std::vector<Evidence> evidence = Gather(out.lives, rules);
-  const Offsets offsets(out.lives.size(), evidence);
-  const auto called = [&](std::size_t i) { return out.lives[i]->name; };
-  for (const std::size_t place : offsets.Impossible()) {
-    const Evidence& one = evidence[place];
-    story.impossible.push_back(one.what + ", " + called(one.a) + " and " + called(one.b) +
-                               ", would set their clocks " + Seconds(one.apart.least) + " to " +
-                               Seconds(one.apart.most) + " apart, against what others of its kind say");
+  const std::vector<Evidence> evidence = GatherClockEvidence(out.incarnations, options);
+  const Offsets offsets(out.incarnations.size(), evidence);
+  const auto name_of = [&](std::size_t i) { return out.incarnations[i]->name; };
+  for (const std::size_t place : offsets.Contradictions()) {
+    const Evidence& item = evidence[place];
+    fleet.contradictions.push_back(
+        item.description + ", " + name_of(item.first_clock) + " and " + name_of(item.second_clock) +
+        ", would set their clocks " + FormatSeconds(item.difference.min) + " to " +
+        FormatSeconds(item.difference.max) + " apart, against what others of its kind say");
   }
   const std::size_t reference = offsets.Reference();
-  for (std::size_t i = 0; i < out.lives.size(); ++i) {
-    const Life& life = *out.lives[i];
+  for (std::size_t i = 0; i < out.incarnations.size(); ++i) {
+    const Incarnation& incarnation = *out.incarnations[i];
     Instance instance;
-    instance.name = life.name;
-    instance.incarnation = life.incarnation;
-    instance.version = life.book.Header().version();
-    instance.reference = i == reference;
+    instance.name = incarnation.name;
+    instance.incarnation = incarnation.number;
+    instance.version = incarnation.book.Header().version();
+    instance.is_reference = i == reference;
     instance.offset = offsets.Between(reference, i);
-    instance.dropped = life.dropped;
-    // A clock that may be right is left as it is; then it may be off by as much as its interval allows.
-    const bool agrees = !instance.offset || instance.offset->Holds(Micros{0});
-    out.shift.push_back(agrees ? Micros{0} : instance.offset->Middle());
-    out.uncertain.push_back(i == reference || !instance.offset ? Micros{0}
-                            : agrees ? std::max(-instance.offset->least, instance.offset->most)
-                                     : instance.offset->Uncertainty());
-    instance.from = out.At(i, life.first);
-    instance.to = out.At(i, life.last);
-    for (const auto& [second, cells] : life.seconds) {
-      for (const ClassCell& cell : cells) instance.came += cell.came;
+    instance.dropped_records = incarnation.dropped_records;
+    // A clock whose interval contains 0 may be exact and is not shifted; its uncertainty is then the larger
+    // bound of the interval.
+    const bool may_be_exact = !instance.offset || instance.offset->Contains(Micros{0});
+    out.clock_shifts.push_back(may_be_exact ? Micros{0} : instance.offset->Midpoint());
+    out.uncertainty.push_back(i == reference || !instance.offset ? Micros{0}
+                              : may_be_exact ? std::max(-instance.offset->min, instance.offset->max)
+                                             : instance.offset->Uncertainty());
+    instance.from = out.ReferenceTime(i, incarnation.first_record_at);
+    instance.to = out.ReferenceTime(i, incarnation.last_record_at);
+    for (const auto& [second, by_class] : incarnation.counts_by_second) {
+      for (const ClassCounts& counts : by_class) instance.received += counts.received;
     }
-    story.instances.push_back(std::move(instance));
+    fleet.instances.push_back(std::move(instance));
   }
-  // The end of all records there are, and of those of the same name that began later.
-  for (std::size_t i = 0; i < out.lives.size(); ++i) {
-    Instance& instance = story.instances[i];
-    out.died.emplace_back();
-    if (out.lives[i]->ended) {
-      const auto& turns = out.lives[i]->turns;
-      const bool cut =
-          std::any_of(turns.begin(), turns.end(), [](auto& turn) { return turn.what == wire::Life::CUT; });
-      instance.end = cut ? Instance::End::kCut : Instance::End::kStopped;
+  // An incarnation without a recorded stop died if a later incarnation of the same instance exists or if
+  // other records continue for longer than the timeout.
+  for (std::size_t i = 0; i < out.incarnations.size(); ++i) {
+    Instance& instance = fleet.instances[i];
+    out.died_at.emplace_back();
+    if (out.incarnations[i]->has_stopped) {
+      const auto& lifecycle_events = out.incarnations[i]->lifecycle_events;
+      const bool is_cut = std::any_of(lifecycle_events.begin(), lifecycle_events.end(),
+                                      [](auto& event) { return event.kind == wire::Life::CUT; });
+      instance.end = is_cut ? Instance::End::kCut : Instance::End::kStopped;
       continue;
     }
-    const bool outlived =
-        std::any_of(story.instances.begin(), story.instances.end(), [&](const Instance& other) {
+    const bool is_outlived =
+        std::any_of(fleet.instances.begin(), fleet.instances.end(), [&](const Instance& other) {
           return (other.name == instance.name && other.incarnation > instance.incarnation) ||
-                 (&other != &instance && other.to > instance.to + rules.missed);
+                 (&other != &instance && other.to > instance.to + options.death_timeout);
         });
-    if (!outlived) continue;
+    if (!is_outlived) continue;
     instance.end = Instance::End::kDied;
-    out.died.back() = instance.to;
+    out.died_at.back() = instance.to;
   }
-  // Classes by name: files of instances may list them in another order.
-  for (const Life* const life : out.lives) {
-    for (const wire::Class& of : life->book.Header().classes()) {
-      if (std::find(out.classes.begin(), out.classes.end(), of.name()) != out.classes.end()) continue;
-      out.classes.push_back(of.name());
-      out.worth.push_back(of.worth());
+  // Classes are matched by name: the configurations of instances may list them in different orders.
+  for (const Incarnation* const incarnation : out.incarnations) {
+    for (const wire::Class& class_info : incarnation->book.Header().classes()) {
+      if (std::find(out.class_names.begin(), out.class_names.end(), class_info.name()) !=
+          out.class_names.end())
+        continue;
+      out.class_names.push_back(class_info.name());
+      out.class_weights.push_back(class_info.worth());
     }
   }
-  story.from = Micros::max();
-  story.to = Micros::min();
-  for (const Instance& instance : story.instances) {
-    story.from = std::min(story.from, instance.from);
-    story.to = std::max(story.to, instance.to);
+  fleet.from = Micros::max();
+  fleet.to = Micros::min();
+  for (const Instance& instance : fleet.instances) {
+    fleet.from = std::min(fleet.from, instance.from);
+    fleet.to = std::max(fleet.to, instance.to);
   }
-  if (story.instances.empty()) story.from = story.to = Micros{0};
-  if (rules.from) story.from = std::max(story.from, *rules.from);
-  if (rules.to) story.to = std::min(story.to, *rules.to);
-  if (story.from > story.to) story.from = story.to;
+  if (fleet.instances.empty()) fleet.from = fleet.to = Micros{0};
+  if (options.from) fleet.from = std::max(fleet.from, *options.from);
+  if (options.to) fleet.to = std::min(fleet.to, *options.to);
+  if (fleet.from > fleet.to) fleet.from = fleet.to;
   return out;
 }
 
--- a/src/timeline/offsets.hpp
+++ b/src/timeline/offsets.hpp
@@ -1,9 +1,9 @@
-// How far the clocks of several instances stand apart, told from what they saw together. Pure.
+// Estimates the offsets between the clocks of several instances from what they observed in common. Pure.
 //
-// Each piece of evidence says that one clock less another lies in an interval. All that can hold together is
-// kept, and the offset of any two clocks is known as the interval that follows from all of it (difference
-// constraints, closed under the triangle inequality). Evidence that cannot hold with the better supported
-// rest is flagged and has no part in any offset: an impossible one is never averaged away.
+// Each piece of evidence bounds the difference of two clocks by an interval. The offset of any two clocks is
+// the interval that follows from all consistent evidence (difference constraints, closed under the triangle
+// inequality). Evidence that contradicts the better supported rest is reported and not used for any offset:
+// it is never averaged in.
 #pragma once
 
 #include <cstddef>
@@ -16,46 +16,54 @@
 namespace tinspan::timeline {
 
 struct Interval {
-  Micros least{0};
-  Micros most{0};
-  Micros Middle() const { return least + (most - least) / 2; }
-  Micros Uncertainty() const { return (most - least + Micros{1}) / 2; }
-  bool Holds(Micros value) const { return least <= value && value <= most; }
+  Micros min{0};
+  Micros max{0};
+  Micros Midpoint() const { return min + (max - min) / 2; }
+  Micros Uncertainty() const { return (max - min + Micros{1}) / 2; }
+  bool Contains(Micros value) const { return min <= value && value <= max; }
 };
 
+// What one common observation says about two clocks.
 struct Evidence {
-  std::size_t a = 0, b = 0;  // clocks
-  Interval apart;            // of b's clock less a's
-  std::string what;          // for people
+  std::size_t first_clock = 0, second_clock = 0;  // indices
+  Interval difference;                            // the second clock minus the first
+  std::string description;                        // for the report
 };
 
 class Offsets {
  public:
   Offsets(std::size_t clocks, const std::vector<Evidence>& evidence);
 
-  // b's clock less a's; nothing where no evidence links them.
-  std::optional<Interval> Between(std::size_t a, std::size_t b) const;
-  // The clock that agrees with most others; all times are best told by it. 0 where there is none to choose.
+  // The second clock minus the first; empty if no evidence links them.
+  std::optional<Interval> Between(std::size_t first_clock, std::size_t second_clock) const;
+  // The clock that agrees with most others, to which all times are converted. 0 if no clocks agree.
   std::size_t Reference() const { return reference_; }
-  // Places in `evidence` of what cannot hold.
-  const std::vector<std::size_t>& Impossible() const { return impossible_; }
+  // Sorted indices of the evidence that contradicts the rest.
+  const std::vector<std::size_t>& Contradictions() const { return contradictions_; }
 
  private:
-  struct Edge {  // all evidence on one pair
-    std::size_t a = 0, b = 0;
-    Interval apart;
-    std::size_t support = 0;
-    std::vector<std::size_t> members;
+  // All consistent evidence on one pair of clocks.
+  struct PairConstraint {
+    std::size_t first_clock = 0, second_clock = 0;
+    Interval difference;
+    std::size_t support_count = 0;  // pieces of evidence that agree
+    std::vector<std::size_t> evidence_indices;
   };
-  void Judge(const std::vector<Evidence>& evidence, const std::vector<std::size_t>& places, Edge& out);
-  bool Take(const Edge& edge);
-  std::int64_t& Most(std::size_t a, std::size_t b) { return most_[a * clocks_ + b]; }
-  std::int64_t Most(std::size_t a, std::size_t b) const { return most_[a * clocks_ + b]; }
+  void IntersectEvidence(const std::vector<Evidence>& evidence, const std::vector<std::size_t>& indices,
+                         PairConstraint& out);
+  // False, without a change, if it contradicts the constraints added before.
+  bool AddConstraint(const PairConstraint& constraint);
+  std::int64_t& UpperBound(std::size_t first_clock, std::size_t second_clock) {
+    return upper_bounds_[first_clock * clocks_ + second_clock];
+  }
+  std::int64_t UpperBound(std::size_t first_clock, std::size_t second_clock) const {
+    return upper_bounds_[first_clock * clocks_ + second_clock];
+  }
 
   std::size_t clocks_;
-  std::vector<std::int64_t> most_;  // an upper bound on clock b less clock a
+  std::vector<std::int64_t> upper_bounds_;  // by first and second clock: an upper bound on second minus first
   std::size_t reference_ = 0;
-  std::vector<std::size_t> impossible_;
+  std::vector<std::size_t> contradictions_;
 };
 
 }  // namespace tinspan::timeline
--- a/src/timeline/service.cpp
+++ b/src/timeline/service.cpp
@@ -1,4 +1,4 @@
-// How well clients were served, second by second and as a whole.
+// How well clients were served, per second and in total.
 #include <algorithm>
 #include <cmath>
 
@@ -11,137 +11,144 @@
 
 }  // namespace
 
-double Point::Asked() const {
+double ServicePoint::RequestedWeight() const {
   double sum = 0;
-  for (const double one : asked) sum += one;
+  for (const double weight : requested_weight) sum += weight;
   return sum;
 }
-double Point::Earned() const {
+double ServicePoint::EarnedWeight() const {
   double sum = 0;
-  for (const double one : earned) sum += one;
+  for (const double weight : earned_weight) sum += weight;
   return sum;
 }
 
-// A request counts in the second in which it ended; one that was open when its instance died, in that.
-void TellService(const Merged& merged, const StoryRules& rules, Story& story) {
-  const std::size_t classes = merged.classes.size();
-  const auto inside = [&](Micros at) {
-    return (!rules.from || at >= *rules.from) && (!rules.to || at <= *rules.to);
+// A request counts in the second in which it ended; one that was open when its instance died counts in the
+// second of the death.
+void BuildService(const MergedTimelines& merged, const TimelineOptions& options, FleetTimeline& fleet) {
+  const std::size_t classes = merged.class_names.size();
+  const auto is_in_range = [&](Micros at) {
+    return (!options.from || at >= *options.from) && (!options.to || at <= *options.to);
   };
-  std::map<std::int64_t, Point> points;
-  const auto point = [&](Micros at) -> Point& {
-    Point& out = points[at.count() / kSecond.count()];
+  std::map<std::int64_t, ServicePoint> points;
+  const auto point = [&](Micros at) -> ServicePoint& {
+    ServicePoint& out = points[at.count() / kSecond.count()];
     out.at = Micros{at.count() / kSecond.count() * kSecond.count()};
-    out.asked.resize(classes);
-    out.earned.resize(classes);
+    out.requested_weight.resize(classes);
+    out.earned_weight.resize(classes);
     out.refused.resize(classes);
-    out.bad.resize(classes);
+    out.failed.resize(classes);
     return out;
   };
   for (std::size_t i = 0; i < classes; ++i) {
-    Tally& tally = story.classes.emplace_back();
-    tally.name = merged.classes[i];
+    Tally& tally = fleet.classes.emplace_back();
+    tally.name = merged.class_names[i];
   }
-  for (std::size_t i = 0; i < merged.lives.size(); ++i) {
-    const Life& life = *merged.lives[i];
-    const auto& header = life.book.Header();
-    std::vector<std::size_t> place;  // of its classes among all
-    for (const wire::Class& of : header.classes()) {
-      place.push_back(static_cast<std::size_t>(
-          std::find(merged.classes.begin(), merged.classes.end(), of.name()) - merged.classes.begin()));
+  for (std::size_t i = 0; i < merged.incarnations.size(); ++i) {
+    const Incarnation& incarnation = *merged.incarnations[i];
+    const auto& header = incarnation.book.Header();
+    std::vector<std::size_t> class_indices;  // index in merged.class_names of each class in the header
+    for (const wire::Class& class_info : header.classes()) {
+      class_indices.push_back(static_cast<std::size_t>(
+          std::find(merged.class_names.begin(), merged.class_names.end(), class_info.name()) -
+          merged.class_names.begin()));
     }
     std::vector<std::int64_t> open(classes, 0);
-    for (const auto& [second, cells] : life.seconds) {
-      // The middle of its second: the shift moves it to where most of it was.
-      const Micros at = merged.At(i, second * kSecond + kSecond / 2);
-      for (std::size_t c = 0; c < cells.size() && c < place.size(); ++c) {
-        const ClassCell& cell = cells[c];
-        const wire::Class& of = header.classes(static_cast<int>(c));
-        open[place[c]] += static_cast<std::int64_t>(cell.came) - static_cast<std::int64_t>(cell.Ended());
-        if (!inside(at)) continue;
-        Tally& tally = story.classes[place[c]];
-        Point& here = point(at);
-        tally.came += cell.came;
-        tally.repeats += cell.repeats;
+    for (const auto& [second, by_class] : incarnation.counts_by_second) {
+      // The middle of the second, so that the clock shift moves it to the second that holds most of it.
+      const Micros at = merged.ReferenceTime(i, second * kSecond + kSecond / 2);
+      for (std::size_t c = 0; c < by_class.size() && c < class_indices.size(); ++c) {
+        const ClassCounts& counts = by_class[c];
+        const wire::Class& class_info = header.classes(static_cast<int>(c));
+        open[class_indices[c]] +=
+            static_cast<std::int64_t>(counts.received) - static_cast<std::int64_t>(counts.Ended());
+        if (!is_in_range(at)) continue;
+        Tally& tally = fleet.classes[class_indices[c]];
+        ServicePoint& current = point(at);
+        tally.received += counts.received;
+        tally.repeats += counts.repeats;
         for (std::uint32_t e = 0; e < record::kEndings; ++e) {
           const auto ending = static_cast<record::Ending>(e);
-          const double count = static_cast<double>(cell.ended[e]);
-          const double earned = count * of.worth() * record::Earned(ending, of);
-          // Its client went away of its own accord: it asked for nothing more.
-          const double asked = ending == record::Ending::kLeft ? 0 : count * of.worth();
-          tally.ended[e] += cell.ended[e];
-          tally.asked += asked;
-          tally.earned += earned;
-          here.asked[place[c]] += asked;
-          here.earned[place[c]] += earned;
-          if (ending == record::Ending::kRefused) here.refused[place[c]] += cell.ended[e];
+          const double count = static_cast<double>(counts.ended[e]);
+          const double earned_weight = count * class_info.worth() * record::Earned(ending, class_info);
+          // The client disconnected, so the request no longer counts as requested.
+          const double requested_weight = ending == record::Ending::kLeft ? 0 : count * class_info.worth();
+          tally.ended[e] += counts.ended[e];
+          tally.requested_weight += requested_weight;
+          tally.earned_weight += earned_weight;
+          current.requested_weight[class_indices[c]] += requested_weight;
+          current.earned_weight[class_indices[c]] += earned_weight;
+          if (ending == record::Ending::kRefused) current.refused[class_indices[c]] += counts.ended[e];
           if (e >= static_cast<std::uint32_t>(record::Ending::kBroken) && ending != record::Ending::kLeft &&
               ending != record::Ending::kRefused) {
-            here.bad[place[c]] += cell.ended[e];
+            current.failed[class_indices[c]] += counts.ended[e];
           }
         }
       }
     }
-    if (!merged.died[i] || !inside(*merged.died[i])) continue;
+    if (!merged.died_at[i] || !is_in_range(*merged.died_at[i])) continue;
     for (std::size_t c = 0; c < classes; ++c) {
       if (open[c] <= 0) continue;
-      Tally& tally = story.classes[c];
-      Point& here = point(*merged.died[i]);
-      const double worth = static_cast<double>(open[c]) * merged.worth[c];
+      Tally& tally = fleet.classes[c];
+      ServicePoint& current = point(*merged.died_at[i]);
+      const double weight = static_cast<double>(open[c]) * merged.class_weights[c];
       tally.lost += static_cast<std::uint64_t>(open[c]);
-      tally.asked += worth;
-      here.asked[c] += worth;
-      here.bad[c] += static_cast<std::uint64_t>(open[c]);
+      tally.requested_weight += weight;
+      current.requested_weight[c] += weight;
+      current.failed[c] += static_cast<std::uint64_t>(open[c]);
     }
   }
-  story.all.name = "all";
-  for (const Tally& tally : story.classes) {
-    story.all.asked += tally.asked;
-    story.all.earned += tally.earned;
-    story.all.came += tally.came;
-    story.all.repeats += tally.repeats;
-    story.all.lost += tally.lost;
-    for (std::size_t e = 0; e < tally.ended.size(); ++e) story.all.ended[e] += tally.ended[e];
-    if (tally.asked > 0) story.worst_class = std::min(story.worst_class, tally.Share());
+  fleet.total.name = "all";
+  for (const Tally& tally : fleet.classes) {
+    fleet.total.requested_weight += tally.requested_weight;
+    fleet.total.earned_weight += tally.earned_weight;
+    fleet.total.received += tally.received;
+    fleet.total.repeats += tally.repeats;
+    fleet.total.lost += tally.lost;
+    for (std::size_t e = 0; e < tally.ended.size(); ++e) fleet.total.ended[e] += tally.ended[e];
+    if (tally.requested_weight > 0)
+      fleet.worst_class_share = std::min(fleet.worst_class_share, tally.EarnedShare());
   }
-  story.whole = story.all.Share();
-  for (auto& [second, one] : points) story.points.push_back(std::move(one));
-  double asked = 0, earned = 0;
-  const double least =
-      10 * story.all.asked / static_cast<double>(std::max<std::size_t>(story.points.size(), 1)) / 5;
-  story.worst_ten = story.whole;
-  story.worst_ten_at = story.from;
-  for (std::size_t i = 0, first = 0; i < story.points.size(); ++i) {
-    asked += story.points[i].Asked();
-    earned += story.points[i].Earned();
-    const Micros from = story.points[i].at - 9 * kSecond;
-    for (; story.points[first].at < from; ++first) {
-      asked -= story.points[first].Asked();
-      earned -= story.points[first].Earned();
+  fleet.whole_share = fleet.total.EarnedShare();
+  for (auto& [second, one] : points) fleet.points.push_back(std::move(one));
+  double requested_weight = 0, earned_weight = 0;
+  const double min_requested = 10 * fleet.total.requested_weight /
+                               static_cast<double>(std::max<std::size_t>(fleet.points.size(), 1)) / 5;
+  fleet.worst_10s_share = fleet.whole_share;
+  fleet.worst_10s_at = fleet.from;
+  for (std::size_t i = 0, first = 0; i < fleet.points.size(); ++i) {
+    requested_weight += fleet.points[i].RequestedWeight();
+    earned_weight += fleet.points[i].EarnedWeight();
+    const Micros from = fleet.points[i].at - 9 * kSecond;
+    for (; fleet.points[first].at < from; ++first) {
+      requested_weight -= fleet.points[first].RequestedWeight();
+      earned_weight -= fleet.points[first].EarnedWeight();
     }
-    // Ten seconds in which hardly anybody asked say nothing, nor does a beginning of less than ten.
-    if (from < story.points.front().at || asked < std::max(least, 1e-9) || earned / asked >= story.worst_ten)
+    // Ten seconds with hardly any requests are not significant, and neither is a start of less than ten
+    // seconds.
+    if (from < fleet.points.front().at || requested_weight < std::max(min_requested, 1e-9) ||
+        earned_weight / requested_weight >= fleet.worst_10s_share)
       continue;
-    story.worst_ten = std::max(earned / asked, 0.0);
-    story.worst_ten_at = from;
+    fleet.worst_10s_share = std::max(earned_weight / requested_weight, 0.0);
+    fleet.worst_10s_at = from;
   }
   std::map<std::pair<std::int64_t, std::uint32_t>, LatencyCounts> latency;
-  for (std::size_t i = 0; i < merged.lives.size(); ++i) {
-    const Life& life = *merged.lives[i];
-    for (const auto& [bin, by_class] : life.latency) {
-      const Micros at = merged.At(i, bin * kLatencyBin + kLatencyBin / 2);
-      if (!inside(at)) continue;
+  for (std::size_t i = 0; i < merged.incarnations.size(); ++i) {
+    const Incarnation& incarnation = *merged.incarnations[i];
+    for (const auto& [bucket, by_class] : incarnation.latency) {
+      const Micros at = merged.ReferenceTime(i, bucket * kLatencyBucketWidth + kLatencyBucketWidth / 2);
+      if (!is_in_range(at)) continue;
       for (const auto& [class_id, counts] : by_class) {
-        const auto place =
-            std::find(merged.classes.begin(), merged.classes.end(), life.book.ClassName(class_id));
-        auto& sum = latency[{at / kLatencyBin, static_cast<std::uint32_t>(place - merged.classes.begin())}];
+        const auto class_index = std::find(merged.class_names.begin(), merged.class_names.end(),
+                                           incarnation.book.ClassName(class_id));
+        auto& sum = latency[{at / kLatencyBucketWidth,
+                             static_cast<std::uint32_t>(class_index - merged.class_names.begin())}];
         for (std::size_t b = 0; b < counts.size(); ++b) sum[b] += counts[b];
       }
     }
   }
   for (const auto& [key, counts] : latency) {
-    story.latency.push_back(
-        {key.first * kLatencyBin, key.second, Quantile(counts, 0.5), Quantile(counts, 0.99)});
+    fleet.latency.push_back(
+        {key.first * kLatencyBucketWidth, key.second, Quantile(counts, 0.5), Quantile(counts, 0.99)});
   }
 }
 
--- a/tests/fuzz/reader_fuzz.cpp
+++ b/tests/fuzz/reader_fuzz.cpp
@@ -10,7 +10,7 @@
 #include "record/json.hpp"
 #include "record/reader.hpp"
 #include "report/report.hpp"
-#include "timeline/story.hpp"
+#include "timeline/fleet_timeline.hpp"
 
 using namespace tinspan;
 
@@ -35,20 +35,20 @@
   }
   record::SegmentReader reader("fuzz");
   record::Book book;
-  timeline::Course course;
+  timeline::InstanceTimelines timelines;
   const record::SegmentName name{"fuzz", "fuzz", 1, 1};
   const auto drain = [&](bool end) {
     while (true) {
       const auto state = end ? reader.End() : reader.Next();
       if (state == record::SegmentReader::State::kMore) return;
       if (state == record::SegmentReader::State::kTrouble) {
-        course.OnTrouble(reader.Problem());
+        timelines.OnTrouble(reader.Problem());
         continue;
       }
       book.Note(reader.Record());
       record::ToJson(book, reader.At(), reader.Record())
           .dump(-1, ' ', false, nlohmann::ordered_json::error_handler_t::replace);
-      course.OnRecord(name, reader.At(), reader.Record());
+      timelines.OnRecord(name, reader.At(), reader.Record());
     }
   };
   for (std::size_t at = 0; at < file.size(); at += 97) {
@@ -56,8 +56,8 @@
     drain(false);
   }
   drain(true);
-  const timeline::Story story = timeline::Tell(course, {});
-  if (size % 8 == 0) report::ToHtml(story);  // large, and slow beside the rest
-  report::ToJson(story).dump(-1, ' ', false, nlohmann::ordered_json::error_handler_t::replace);
+  const timeline::FleetTimeline fleet = timeline::BuildFleetTimeline(timelines, {});
+  if (size % 8 == 0) report::ToHtml(fleet);  // large, and slow beside the rest
+  report::ToJson(fleet).dump(-1, ' ', false, nlohmann::ordered_json::error_handler_t::replace);
   return 0;
 }
--- a/tests/timeline_test.cpp
+++ b/tests/timeline_test.cpp
@@ -1,5 +1,5 @@
-// Many instances' records put together: clocks that disagree, deaths, gaps, incidents. Records are made here;
-// what the story must say is known from how they were made.
+// The fleet timeline built from the records of several instances: clocks that disagree, deaths, incidents.
+// The tests generate the records, so the expected events and figures are known.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
@@ -7,8 +7,8 @@
 #include <algorithm>
 #include <random>
 
+#include "timeline/fleet_timeline.hpp"
 #include "timeline/merge.hpp"
-#include "timeline/story.hpp"
 
 namespace tinspan::timeline {
 namespace {
@@ -17,9 +17,11 @@
 constexpr Micros kMilli{1'000};
 constexpr Micros kSecond{1'000'000};
 
-// ---- Clocks. ----
+// ---- Clock offsets ----
 
-RC_GTEST_PROP(OffsetsTest, TheTruthLiesInEveryIntervalAndLiesAreFlagged, ()) {
+// Guards against offsets that evidence of a wrong clock shifts: every interval must contain the true offset,
+// and only the false evidence may be reported.
+RC_GTEST_PROP(OffsetsTest, TrueOffsetsLieInEveryIntervalAndContradictionsAreFlagged, ()) {
   const std::size_t clocks = *rc::gen::inRange<std::size_t>(2, 7);
   std::vector<std::int64_t> truth;
   for (std::size_t i = 0; i < clocks; ++i) truth.push_back(*rc::gen::inRange(-2'000'000, 2'000'000));
@@ -32,47 +34,48 @@
     const std::int64_t seen = truth[b] - truth[a] + *rc::gen::inRange(-300'000, 300'000);
     evidence.push_back({a, b, {Micros{seen - spread}, Micros{seen + spread}}, "seen"});
   }
-  const std::size_t honest = evidence.size();
-  // A lie about a pair of which three honest pieces are there.
-  if (honest > 0) {
+  const std::size_t consistent_count = evidence.size();
+  // False evidence on a pair that has at least three true pieces.
+  if (consistent_count > 0) {
     for (int i = 0; i < 2; ++i) evidence.push_back(evidence[0]);
-    Evidence lie = evidence[0];
-    lie.apart.least += Micros{5'000'000};
-    lie.apart.most += Micros{5'000'000};
-    evidence.push_back(lie);
+    Evidence contradiction = evidence[0];
+    contradiction.difference.min += Micros{5'000'000};
+    contradiction.difference.max += Micros{5'000'000};
+    evidence.push_back(contradiction);
   }
   const Offsets offsets(clocks, evidence);
-  if (honest > 0) RC_ASSERT(offsets.Impossible() == std::vector<std::size_t>{evidence.size() - 1});
+  if (consistent_count > 0)
+    RC_ASSERT(offsets.Contradictions() == std::vector<std::size_t>{evidence.size() - 1});
   for (std::size_t a = 0; a < clocks; ++a) {
     for (std::size_t b = 0; b < clocks; ++b) {
       const auto apart = offsets.Between(a, b);
-      if (apart) RC_ASSERT(apart->Holds(Micros{truth[b] - truth[a]}));
+      if (apart) RC_ASSERT(apart->Contains(Micros{truth[b] - truth[a]}));
     }
   }
 }
 
-TEST(OffsetsTest, AWayRoundThatDoesNotCloseIsFlaggedNotAveraged) {
+TEST(OffsetsTest, ContradictoryCycleIsFlaggedNotAveraged) {
   const auto apart = [](std::int64_t middle) { return Interval{Micros{middle - 100}, Micros{middle + 100}}; };
-  // 0 to 1 and 1 to 2 are well supported; what one witness says of 0 and 2 cannot hold beside them.
+  // 0 to 1 and 1 to 2 are supported by two pieces each; the only piece on 0 and 2 contradicts them.
   const std::vector<Evidence> evidence{{0, 1, apart(1000), ""},
                                        {0, 1, apart(1010), ""},
                                        {1, 2, apart(0), ""},
                                        {1, 2, apart(10), ""},
                                        {0, 2, apart(9000), ""}};
   const Offsets offsets(3, evidence);
-  EXPECT_EQ(offsets.Impossible(), std::vector<std::size_t>{4});
-  EXPECT_TRUE(offsets.Between(0, 2)->Holds(Micros{1010}));
+  EXPECT_EQ(offsets.Contradictions(), std::vector<std::size_t>{4});
+  EXPECT_TRUE(offsets.Between(0, 2)->Contains(Micros{1010}));
   EXPECT_LE(offsets.Between(0, 2)->Uncertainty(), Micros{200});
   EXPECT_FALSE(Offsets(2, {}).Between(0, 1).has_value());
 }
 
-// ---- Whole stories. ----
+// ---- Fleet timelines ----
 
-// One instance's records: `skew` is how far its wall clock is ahead.
+// Generates the records of one incarnation; its wall clock is ahead by `skew`.
 class Writer {
  public:
-  Writer(std::string name, Micros skew, Micros start = Micros{0}, int life = 0)
-      : skew_(skew), mono_(Micros{5'000'000 * (1 + life)} + start) {
+  Writer(std::string name, Micros skew, Micros start = Micros{0}, int incarnation = 0)
+      : skew_(skew), mono_(Micros{5'000'000 * (1 + incarnation)} + start) {
     from_ = {"f", std::move(name), (kDay + start + skew).count(), 1};
     start_ = start;
     wire::Record record;
@@ -82,10 +85,10 @@
     header.set_wall_us((kDay + start + skew).count());
     header.set_mono_us(mono_.count());
     for (const char* const of : {"scans", "orders"}) {
-      wire::Class& one = *header.add_classes();
-      one.set_name(of);
-      one.set_worth(std::string(of) == "orders" ? 3 : 1);
-      one.set_late_worth(0.5);
+      wire::Class& class_info = *header.add_classes();
+      class_info.set_name(of);
+      class_info.set_worth(std::string(of) == "orders" ? 3 : 1);
+      class_info.set_late_worth(0.5);
     }
     Add(start, record);
     wire::Record life_record;
@@ -101,9 +104,9 @@
     record.mutable_members()->set_source("registry");
     record.mutable_members()->set_version(version);
     for (const auto& [server, state] : states) {
-      wire::Member& one = *record.mutable_members()->add_members();
-      one.set_server(server);
-      one.set_state(static_cast<std::uint32_t>(state));
+      wire::Member& member = *record.mutable_members()->add_members();
+      member.set_server(server);
+      member.set_state(static_cast<std::uint32_t>(state));
     }
     Add(at, record);
   }
@@ -120,14 +123,14 @@
     record.mutable_purge()->set_group(group);
     Add(at, record);
   }
-  // A second's worth of requests of class 0 and 1 that all ended one way.
-  void Window(Micros at, std::uint32_t count, record::Ending ending, std::uint32_t came_more = 0) {
+  // `count` requests each of class 0 and class 1 that all had the same ending.
+  void Window(Micros at, std::uint32_t count, record::Ending ending, std::uint32_t extra_received = 0) {
     wire::Record record;
     wire::Window& window = *record.mutable_window();
     window.set_length_us(100'000);
     for (std::uint32_t c = 0; c < 2; ++c) {
       window.add_came(c);
-      window.add_came(count + came_more);
+      window.add_came(count + extra_received);
       if (count == 0) continue;
       window.add_ended((std::uint64_t{1} * 2 + c) * 16 + static_cast<std::uint64_t>(ending));
       window.add_ended(count);
@@ -153,89 +156,92 @@
   Micros skew_, start_{0}, mono_;
 };
 
-// Feeds the records in any interleaving that keeps each writer's order.
-void Feed(Course& course, const std::vector<const Writer*>& writers, std::uint64_t seed) {
+// Feeds the records in a random interleaving that keeps each writer's order.
+void Feed(InstanceTimelines& timelines, const std::vector<const Writer*>& writers, std::uint64_t seed) {
   std::mt19937_64 random(seed);
   std::vector<std::size_t> at(writers.size(), 0);
   std::vector<std::size_t> left;
   for (std::size_t i = 0; i < writers.size(); ++i) left.insert(left.end(), writers[i]->records.size(), i);
   std::shuffle(left.begin(), left.end(), random);
   for (const std::size_t i : left)
-    course.OnRecord(writers[i]->From(), Micros{0}, writers[i]->records[at[i]++]);
+    timelines.OnRecord(writers[i]->From(), Micros{0}, writers[i]->records[at[i]++]);
 }
 
-std::vector<std::string> Texts(const Story& story) {
+std::vector<std::string> Texts(const FleetTimeline& fleet) {
   std::vector<std::string> out;
-  for (const Event& event : story.events) out.push_back(event.text);
+  for (const Event& event : fleet.events) out.push_back(event.text);
   return out;
 }
-const Event* Find(const Story& story, EventKind kind, const std::string& text = "") {
-  const auto found = std::find_if(story.events.begin(), story.events.end(), [&](const Event& event) {
+const Event* Find(const FleetTimeline& fleet, EventKind kind, const std::string& text = "") {
+  const auto found = std::find_if(fleet.events.begin(), fleet.events.end(), [&](const Event& event) {
     return event.kind == kind && event.text.find(text) != std::string::npos;
   });
-  return found == story.events.end() ? nullptr : &*found;
+  return found == fleet.events.end() ? nullptr : &*found;
 }
 
-// Whatever the interleaving and the skew: events that are further apart than their uncertainties stand in the
-// true order, and the same story is told.
-RC_GTEST_PROP(StoryTest, EventsComeInTheTrueOrderWhereEvidenceDecidesIt, (std::uint64_t seed)) {
+// Guards against a timeline that depends on the order in which records are read or on a skewed clock: events
+// further apart than their uncertainties must be in the true order, and every interleaving must give the same
+// events.
+RC_GTEST_PROP(FleetTimelineTest, EventsAreInTrueOrderWithinTheirUncertainties, (std::uint64_t seed)) {
   std::mt19937_64 random(seed);
-  const auto any = [&](std::int64_t below) {
+  const auto random_below = [&](std::int64_t below) {
     return static_cast<std::int64_t>(random() % static_cast<std::uint64_t>(below));
   };
   std::vector<Writer> writers;
   for (int i = 0; i < 3; ++i)
-    writers.emplace_back("n" + std::to_string(i), i == 2 ? Micros{any(3'000'000) - 1'500'000} : Micros{0});
+    writers.emplace_back("n" + std::to_string(i),
+                         i == 2 ? Micros{random_below(3'000'000) - 1'500'000} : Micros{0});
   std::map<std::string, Micros> truth;
   Micros at = kSecond;
   for (std::uint64_t version = 1; version < 12; ++version) {
-    at += Micros{100'000 + any(2'000'000)};
+    at += Micros{100'000 + random_below(2'000'000)};
     const auto number = static_cast<std::uint32_t>(version);
     for (Writer& writer : writers) {
       writer.Server(number, "s" + std::to_string(version));
       if (version == 1) {
         std::vector<std::pair<std::uint32_t, int>> all;
         for (std::uint32_t s = 1; s < 12; ++s) all.emplace_back(s, 0);
-        writer.Version(at + Micros{any(200'000)}, 1, all);
+        writer.Version(at + Micros{random_below(200'000)}, 1, all);
       } else {
-        writer.Version(at + Micros{any(200'000)}, version, {{number, 1}});
+        writer.Version(at + Micros{random_below(200'000)}, version, {{number, 1}});
       }
     }
     if (version > 1) truth["s" + std::to_string(version) + " was told to be draining"] = at;
-    // What only one of them knows.
-    const std::size_t who = random() % 3;
-    const Micros then = at + Micros{any(90'000)};
-    writers[who].Purge(then, then, 100 + version);
-    truth["group " + std::to_string(100 + version) + " was purged"] = then;
+    // A purge that only one instance receives.
+    const std::size_t observer = random() % 3;
+    const Micros purged_at = at + Micros{random_below(90'000)};
+    writers[observer].Purge(purged_at, purged_at, 100 + version);
+    truth["group " + std::to_string(100 + version) + " was purged"] = purged_at;
   }
   for (Writer& writer : writers) writer.Stop(at + kSecond);
   std::vector<const Writer*> all;
   for (const Writer& writer : writers) all.push_back(&writer);
-  Course course, other;
-  Feed(course, all, seed);
+  InstanceTimelines timelines, other;
+  Feed(timelines, all, seed);
   Feed(other, all, seed + 1);
-  const Story story = Tell(course, {});
-  RC_ASSERT(Texts(story) == Texts(Tell(other, {})));
-  RC_ASSERT(story.impossible.empty());
+  const FleetTimeline fleet = BuildFleetTimeline(timelines, {});
+  RC_ASSERT(Texts(fleet) == Texts(BuildFleetTimeline(other, {})));
+  RC_ASSERT(fleet.contradictions.empty());
   std::size_t known = 0;
-  for (std::size_t i = 0; i < story.events.size(); ++i) {
-    const auto mine = truth.find(story.events[i].text);
-    if (mine == truth.end()) continue;
+  for (std::size_t i = 0; i < fleet.events.size(); ++i) {
+    const auto expected = truth.find(fleet.events[i].text);
+    if (expected == truth.end()) continue;
     ++known;
-    // A word reaches an instance up to 0.2 s after it was given.
-    const Micros off = story.events[i].at - kDay - mine->second;
-    RC_ASSERT(off <= story.events[i].uncertain + Micros{200'000} && -off <= story.events[i].uncertain);
-    for (std::size_t j = i + 1; j < story.events.size(); ++j) {
-      const auto later = truth.find(story.events[j].text);
+    // An update reaches an instance up to 0.2 s after it was issued.
+    const Micros error = fleet.events[i].at - kDay - expected->second;
+    RC_ASSERT(error <= fleet.events[i].uncertainty + Micros{200'000} &&
+              -error <= fleet.events[i].uncertainty);
+    for (std::size_t j = i + 1; j < fleet.events.size(); ++j) {
+      const auto later = truth.find(fleet.events[j].text);
       if (later == truth.end()) continue;
-      const Micros blur = story.events[i].uncertain + story.events[j].uncertain + Micros{200'000};
-      RC_ASSERT(mine->second <= later->second + blur);
+      const Micros tolerance = fleet.events[i].uncertainty + fleet.events[j].uncertainty + Micros{200'000};
+      RC_ASSERT(expected->second <= later->second + tolerance);
     }
   }
   RC_ASSERT(known == truth.size());
 }
 
-TEST(StoryTest, ASkewedClockIsSetRightAndShownWithItsUncertainty) {
+TEST(FleetTimelineTest, SkewedClockIsCorrectedWithItsUncertainty) {
   Writer a("a", Micros{0}), b("b", Micros{0}), c("c", kSecond);
   for (Writer* const w : {&a, &b, &c}) {
     w->Server(1, "cache");
@@ -244,36 +250,36 @@
     w->Version(9 * kSecond, 3);
     w->Stop(12 * kSecond);
   }
-  Course course;
-  Feed(course, {&a, &b, &c}, 1);
-  const Story story = Tell(course, {});
-  ASSERT_EQ(story.instances.size(), 3u);
-  EXPECT_TRUE(story.instances[0].reference);
-  ASSERT_TRUE(story.instances[2].offset);
-  EXPECT_TRUE(story.instances[2].offset->Holds(kSecond));
-  EXPECT_LE(story.instances[2].offset->Uncertainty(), Micros{300'000});
-  const Event* const drain = Find(story, EventKind::kDraining);
+  InstanceTimelines timelines;
+  Feed(timelines, {&a, &b, &c}, 1);
+  const FleetTimeline fleet = BuildFleetTimeline(timelines, {});
+  ASSERT_EQ(fleet.instances.size(), 3u);
+  EXPECT_TRUE(fleet.instances[0].is_reference);
+  ASSERT_TRUE(fleet.instances[2].offset);
+  EXPECT_TRUE(fleet.instances[2].offset->Contains(kSecond));
+  EXPECT_LE(fleet.instances[2].offset->Uncertainty(), Micros{300'000});
+  const Event* const drain = Find(fleet, EventKind::kDraining);
   ASSERT_NE(drain, nullptr);
-  EXPECT_EQ(drain->heard.size(), 3u);
+  EXPECT_EQ(drain->received_by.size(), 3u);
   EXPECT_LE(std::chrono::abs(drain->at - kDay - 5 * kSecond), Micros{300'000});
 }
 
-TEST(StoryTest, AClockThatStepsBackMovesNothingElse) {
+TEST(FleetTimelineTest, ClockStepBackShiftsNoOtherEvent) {
   Writer a("a", Micros{0});
   for (int i = 1; i < 10; ++i) a.Beat(i * kSecond, i >= 5 ? Micros{-1'000'000} : Micros{0});
   a.Purge(7 * kSecond, 7 * kSecond, 3);
   a.Stop(10 * kSecond);
-  Course course;
-  Feed(course, {&a}, 1);
-  const Story story = Tell(course, {});
-  const Event* const step = Find(story, EventKind::kClockStep);
+  InstanceTimelines timelines;
+  Feed(timelines, {&a}, 1);
+  const FleetTimeline fleet = BuildFleetTimeline(timelines, {});
+  const Event* const step = Find(fleet, EventKind::kClockStep);
   ASSERT_NE(step, nullptr);
   EXPECT_EQ(step->at, kDay + 5 * kSecond);
   EXPECT_NE(step->text.find("-1.00 s"), std::string::npos);
-  EXPECT_EQ(Find(story, EventKind::kPurge)->at, kDay + 7 * kSecond);
+  EXPECT_EQ(Find(fleet, EventKind::kPurge)->at, kDay + 7 * kSecond);
 }
 
-TEST(StoryTest, ADeathIsToldFromAMissingEndAndNamedAsTheCause) {
+TEST(FleetTimelineTest, MissingStopIsReportedAsDeathAndAsCause) {
   Writer a("a", Micros{0}), b("b", Micros{0}), again("b", Micros{0}, 20 * kSecond, 1);
   for (int i = 1; i < 40; ++i) {
     a.Window(i * kSecond, 10, i == 12 || i == 13 ? record::Ending::kFailed : record::Ending::kInTime);
@@ -284,64 +290,64 @@
   }
   a.Stop(40 * kSecond);
   again.Beat(39 * kSecond);
-  Course course;
-  Feed(course, {&a, &b, &again}, 3);
-  const Story story = Tell(course, {});
-  ASSERT_EQ(story.instances.size(), 3u);
-  EXPECT_EQ(story.instances[0].end, Instance::End::kStopped);
-  EXPECT_EQ(story.instances[1].end, Instance::End::kDied);
-  EXPECT_EQ(story.instances[2].end, Instance::End::kOpen);  // the records just end
-  const Event* const died = Find(story, EventKind::kDied);
+  InstanceTimelines timelines;
+  Feed(timelines, {&a, &b, &again}, 3);
+  const FleetTimeline fleet = BuildFleetTimeline(timelines, {});
+  ASSERT_EQ(fleet.instances.size(), 3u);
+  EXPECT_EQ(fleet.instances[0].end, Instance::End::kStopped);
+  EXPECT_EQ(fleet.instances[1].end, Instance::End::kDied);
+  EXPECT_EQ(fleet.instances[2].end, Instance::End::kOpen);  // its records end without a stop
+  const Event* const died = Find(fleet, EventKind::kDied);
   ASSERT_NE(died, nullptr);
   EXPECT_EQ(died->at, kDay + Micros{11'500'000});
-  EXPECT_EQ(died->heard, std::vector<std::string>{"a"});
-  EXPECT_EQ(story.all.lost, 8u);
-  EXPECT_EQ(story.all.came, 39u * 20 + 12 * 20 + 8);
-  ASSERT_EQ(story.incidents.size(), 1u);
-  EXPECT_LE(story.incidents[0].from, kDay + 12 * kSecond);
-  EXPECT_GE(story.incidents[0].to, kDay + 13 * kSecond);
-  ASSERT_FALSE(story.incidents[0].causes.empty());
-  EXPECT_EQ(story.incidents[0].causes[0].what, "instance died");
-  const double asked = 39 * 40 + 12 * 40 + 4 * 4, earned = 37 * 40 + 12 * 40;
-  EXPECT_NEAR(story.whole, earned / asked, 1e-9);
-  EXPECT_NEAR(story.all.asked, asked, 1e-9);
+  EXPECT_EQ(died->received_by, std::vector<std::string>{"a"});
+  EXPECT_EQ(fleet.total.lost, 8u);
+  EXPECT_EQ(fleet.total.received, 39u * 20 + 12 * 20 + 8);
+  ASSERT_EQ(fleet.incidents.size(), 1u);
+  EXPECT_LE(fleet.incidents[0].from, kDay + 12 * kSecond);
+  EXPECT_GE(fleet.incidents[0].to, kDay + 13 * kSecond);
+  ASSERT_FALSE(fleet.incidents[0].causes.empty());
+  EXPECT_EQ(fleet.incidents[0].causes[0].name, "instance died");
+  const double requested_weight = 39 * 40 + 12 * 40 + 4 * 4, earned_weight = 37 * 40 + 12 * 40;
+  EXPECT_NEAR(fleet.whole_share, earned_weight / requested_weight, 1e-9);
+  EXPECT_NEAR(fleet.total.requested_weight, requested_weight, 1e-9);
 }
 
-TEST(StoryTest, TwoOverlappingPurgesAndAWaveAreKeptApart) {
+TEST(FleetTimelineTest, OverlappingPurgesAndAWaveStaySeparate) {
   Writer a("a", Micros{0}), b("b", Micros{0});
   for (Writer* const w : {&a, &b}) {
     const Micros late = w == &b ? 80 * kMilli : Micros{0};
     for (int i = 0; i < 10; ++i)
       w->Purge(10 * kSecond + i * 100 * kMilli + late, 10 * kSecond + i * 100 * kMilli,
                static_cast<std::uint64_t>(i));
-    w->Purge(10 * kSecond + 500 * kMilli + late, 10 * kSecond + 500 * kMilli, 3);  // group 3 once more
+    w->Purge(10 * kSecond + 500 * kMilli + late, 10 * kSecond + 500 * kMilli, 3);  // group 3 again
     w->Stop(20 * kSecond);
   }
-  Course course;
-  Feed(course, {&a, &b}, 5);
-  const Story story = Tell(course, {});
+  InstanceTimelines timelines;
+  Feed(timelines, {&a, &b}, 5);
+  const FleetTimeline fleet = BuildFleetTimeline(timelines, {});
   const auto count = [&](EventKind kind) {
-    return std::count_if(story.events.begin(), story.events.end(),
+    return std::count_if(fleet.events.begin(), fleet.events.end(),
                          [&](const Event& event) { return event.kind == kind; });
   };
   EXPECT_EQ(count(EventKind::kPurge), 11);
   EXPECT_EQ(count(EventKind::kPurgeWave), 1);
-  EXPECT_EQ(Find(story, EventKind::kPurgeWave)->at, kDay + 10 * kSecond);
+  EXPECT_EQ(Find(fleet, EventKind::kPurgeWave)->at, kDay + 10 * kSecond);
 }
 
-TEST(StoryTest, OnlyWhatIsAskedForIsTold) {
+TEST(FleetTimelineTest, OnlyTheRequestedRangeIsReported) {
   Writer a("a", Micros{0});
   for (int i = 1; i < 40; ++i) a.Window(i * kSecond, 10, record::Ending::kInTime);
   a.Stop(40 * kSecond);
-  Course course;
-  Feed(course, {&a}, 1);
-  StoryRules rules;
-  rules.from = kDay + 10 * kSecond;
-  rules.to = kDay + 20 * kSecond;
-  const Story story = Tell(course, rules);
-  EXPECT_LE(story.all.came, 11u * 20);
-  EXPECT_GE(story.all.came, 9u * 20);
-  EXPECT_EQ(story.events.size(), 0u);
+  InstanceTimelines timelines;
+  Feed(timelines, {&a}, 1);
+  TimelineOptions options;
+  options.from = kDay + 10 * kSecond;
+  options.to = kDay + 20 * kSecond;
+  const FleetTimeline fleet = BuildFleetTimeline(timelines, options);
+  EXPECT_LE(fleet.total.received, 11u * 20);
+  EXPECT_GE(fleet.total.received, 9u * 20);
+  EXPECT_EQ(fleet.events.size(), 0u);
 }
 
 }  // namespace
