--- a/src/timeline/offsets.hpp
+++ b/src/timeline/offsets.hpp
@@ -53,15 +53,13 @@
                          PairConstraint& out);
   // False, without a change, if it contradicts the constraints added before.
   bool AddConstraint(const PairConstraint& constraint);
-  std::int64_t& UpperBound(std::size_t first_clock, std::size_t second_clock) {
-    return upper_bounds_[first_clock * clocks_ + second_clock];
-  }
-  std::int64_t UpperBound(std::size_t first_clock, std::size_t second_clock) const {
-    return upper_bounds_[first_clock * clocks_ + second_clock];
+  std::int64_t& UpperBound(std::size_t from, std::size_t to) { return upper_bounds_[from * clocks_ + to]; }
+  std::int64_t UpperBound(std::size_t from, std::size_t to) const {
+    return upper_bounds_[from * clocks_ + to];
   }
 
   std::size_t clocks_;
-  std::vector<std::int64_t> upper_bounds_;  // by first and second clock: an upper bound on second minus first
+  std::vector<std::int64_t> upper_bounds_;  // of clock `to` minus clock `from`, at from * clocks_ + to
   std::size_t reference_ = 0;
   std::vector<std::size_t> contradictions_;
 };
