--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -97,7 +97,7 @@
   return std::make_unique<lease::Agent>(loop, *node, std::move(options));
 }
 
-void AddLeaseStats(const lease::Agent& agent, ops::Figures& figures) {
+void AddLeaseStats(const lease::Agent& agent, ops::Statistics& figures) {
   const lease::LeaseStats& stats = agent.Leases().Stats();
   const auto add_counter = [&](const char* name, std::uint64_t value) {
     figures.more.push_back({name, "counter", value});
@@ -123,7 +123,7 @@
   if (node == nullptr) return attached;
   attached.views.members = [node] { return node->FormatMembers(); };
   if (agent != nullptr) attached.views.leases = [agent] { return agent->StatusLines(); };
-  attached.add_stats = [node, agent](ops::Figures& figures) {
+  attached.add_stats = [node, agent](ops::Statistics& figures) {
     const members::MembershipView& view = node->View();
     const members::MembershipStats& stats = view.Stats();
     const members::DatagramStats& datagrams = node->Stats();
--- a/src/front/http/http_front.cpp
+++ b/src/front/http/http_front.cpp
@@ -58,16 +58,16 @@
       events.push_back(std::move(updated));
       if (std::exchange(is_first, false) && --unlisted_services_ == 0) {
         downstream_.SetReady();
-        service_.Serving();
+        service_.MarkServing();
       }
     };
     watches_.push_back(std::make_unique<ConsulWatch>(loop, config, service, std::move(on_change)));
   }
   if (config.ops) {
-    ops_listener_.emplace(
+    admin_listener_.emplace(
         loop, *config.ops, service_,
         [this] {
-          ops::Figures figures;
+          ops::Statistics figures;
           if (attached_.add_stats) attached_.add_stats(figures);
           return figures;
         },
--- a/src/front/http/http_front.hpp
+++ b/src/front/http/http_front.hpp
@@ -9,7 +9,7 @@
 #include "front/http/clients.hpp"
 #include "front/http/consul.hpp"
 #include "front/http/upstream.hpp"
-#include "front/ops/door.hpp"
+#include "front/ops/admin_listener.hpp"
 #include "front/runner.hpp"
 
 namespace tinspan::http {
@@ -27,7 +27,7 @@
   net::Micros LongestDeadline() const override { return config_.longest; }
   void Drain(const core::DrainTimetable& timetable) override {
     if (attached_.on_drain) attached_.on_drain();
-    service_.Stopping();
+    service_.MarkStopping();
     downstream_.Drain(timetable);
   }
   /// Reads the key set again, which allows key rotation.
@@ -38,7 +38,7 @@
   std::uint16_t Port() const { return downstream_.Port(); }
   /// Port of the admin listener, if there is one.
   std::optional<std::uint16_t> OpsPort() const {
-    return ops_listener_ ? std::optional<std::uint16_t>(ops_listener_->Port()) : std::nullopt;
+    return admin_listener_ ? std::optional<std::uint16_t>(admin_listener_->Port()) : std::nullopt;
   }
   /// Connects the services that are attached to this front.
   void SetAttachedServices(front::AttachedServices attached) {
@@ -59,9 +59,9 @@
   std::vector<std::unique_ptr<ConsulWatch>> watches_;
   std::size_t unlisted_services_;  // number of services without a list from Consul yet
   ops::Service service_{false};    // serving once Consul has listed every service; without standby
-  ops::Views views_;
+  ops::AdminViews views_;
   front::AttachedServices attached_;
-  std::optional<front::OpsDoor> ops_listener_;
+  std::optional<front::AdminListener> admin_listener_;
 };
 
 /// Parses a JWK set. Throws config::Error if it is invalid.
--- a/src/front/ops/door.cpp
+++ b/src/front/ops/admin_listener.cpp
@@ -1,4 +1,4 @@
-#include "front/ops/door.hpp"
+#include "front/ops/admin_listener.hpp"
 
 #include <algorithm>
 
@@ -12,15 +12,15 @@
                                           .max_write_bytes = 4 << 20};
 }  // namespace
 
-OpsDoor::OpsDoor(net::EventLoop& loop, const net::Endpoint& address, ops::Service& service,
-                 StatsProvider provide_stats, const ops::Views& views)
+AdminListener::AdminListener(net::EventLoop& loop, const net::Endpoint& address, ops::Service& service,
+                             StatsProvider provide_stats, const ops::AdminViews& views)
     : loop_(loop),
       service_(service),
       provide_stats_(std::move(provide_stats)),
       views_(views),
       listener_(loop, address, [this](net::Fd fd) { Accept(std::move(fd)); }) {}
 
-void OpsDoor::Accept(net::Fd fd) {
+void AdminListener::Accept(net::Fd fd) {
   const net::Micros now = net::Now();
   Sweep(now);
   if (callers_.size() >= kMaxCallers) {  // close the oldest; no caller has sent a complete line
@@ -36,7 +36,7 @@
   callers_.emplace(id, std::move(connection));
 }
 
-void OpsDoor::OnData(net::Connection& connection) {
+void AdminListener::OnData(net::Connection& connection) {
   if (connection.IsLingering()) return connection.Consume(connection.Unread().size());
   const std::string_view unread = connection.Unread();
   const std::size_t end = unread.find('\n');
@@ -56,13 +56,13 @@
   if (connection.Write(answer)) connection.ShutdownWhenDrained();
 }
 
-void OpsDoor::OnClosed(net::Connection& connection) {
+void AdminListener::OnClosed(net::Connection& connection) {
   connection.Close();
   closed_ids_.push_back(connection.id);
   loop_.Timers().Set(net::Now(), [this](net::Micros now) { Sweep(now); });
 }
 
-void OpsDoor::Sweep(net::Micros now) {
+void AdminListener::Sweep(net::Micros now) {
   for (const std::uint64_t id : closed_ids_) callers_.erase(id);
   closed_ids_.clear();
   std::erase_if(callers_, [now](const auto& entry) {
--- a/src/front/ops/door.hpp
+++ b/src/front/ops/admin_listener.hpp
@@ -18,17 +18,17 @@
 namespace tinspan::front {
 
 /// Listens for admin calls at one address and answers them. Not thread-safe.
-class OpsDoor final : public net::Connection::Owner {
+class AdminListener final : public net::Connection::Owner {
  public:
   /// Returns the current statistics.
-  using StatsProvider = std::function<ops::Figures()>;
+  using StatsProvider = std::function<ops::Statistics()>;
   static constexpr std::size_t kMaxCallers = 8;  // within config::Limits::kKept
   static constexpr net::Micros kIdleTimeout{10'000'000};
 
   /// Throws std::system_error if the address cannot be bound. `service` and `views` must outlive the
   /// listener; `views` is read at each call.
-  OpsDoor(net::EventLoop& loop, const net::Endpoint& address, ops::Service& service,
-          StatsProvider provide_stats, const ops::Views& views);
+  AdminListener(net::EventLoop& loop, const net::Endpoint& address, ops::Service& service,
+                StatsProvider provide_stats, const ops::AdminViews& views);
   /// The bound port.
   std::uint16_t Port() const { return listener_.Port(); }
   /// The number of calls answered.
@@ -44,7 +44,7 @@
   net::EventLoop& loop_;
   ops::Service& service_;
   StatsProvider provide_stats_;
-  const ops::Views& views_;
+  const ops::AdminViews& views_;
   std::unordered_map<std::uint64_t, std::unique_ptr<net::Connection>> callers_;
   std::vector<std::uint64_t> closed_ids_;
   std::uint64_t last_id_ = 0;
--- a/src/front/platform/platform_front.cpp
+++ b/src/front/platform/platform_front.cpp
@@ -57,7 +57,7 @@
       endpoint_watcher_(loop, config, upstream_, events) {
   if (config.ops) {
     admin_listener_.emplace(
-        loop, *config.ops, service_, [this] { return Figures(); }, views_);
+        loop, *config.ops, service_, [this] { return Statistics(); }, views_);
   }
 }
 
@@ -67,8 +67,8 @@
   attached_ = std::move(attached);
 }
 
-ops::Figures PlatformFront::Figures() const {
-  ops::Figures figures = counters_;
+ops::Statistics PlatformFront::Statistics() const {
+  ops::Statistics figures = counters_;
   figures.pending = downstream_.PendingCount();
   figures.members = upstream_.EndpointCount();
   figures.members_unavailable = endpoint_watcher_.DrainingCount();
@@ -79,7 +79,7 @@
 
 // Adds the counts of rejected and failed requests, closed connections and socket errors, each by reason, and
 // the step of the wall clock.
-void PlatformFront::AddStats(ops::Figures& figures) const {
+void PlatformFront::AddStats(ops::Statistics& figures) const {
   const auto add = [&figures](std::string name, const char* type, std::uint64_t value) {
     figures.more.push_back({std::move(name), type, value});
   };
@@ -147,7 +147,7 @@
 
 void PlatformFront::Drain(const core::DrainTimetable& timetable) {
   if (attached_.on_drain) attached_.on_drain();
-  service_.Stopping();
+  service_.MarkStopping();
   downstream_.StartDrain(timetable);
 }
 
@@ -189,7 +189,7 @@
 }
 
 void PlatformFront::EndRound(Micros now) {
-  service_.Serving();  // the events in the configuration have been applied by the end of the first round
+  service_.MarkServing();  // the events in the configuration have been applied by the end of the first round
   ApplyServiceState(now);
   // When clients read their responses too slowly, reading from the servers is paused to bound the memory use.
   upstream_.SetReadPaused(downstream_.Backlog() > max_downstream_backlog_);
@@ -202,7 +202,7 @@
 // Applies a service state that an operator has set through the admin listener since the last round. Drain,
 // not this function, starts a shutdown.
 void PlatformFront::ApplyServiceState(Micros now) {
-  const ops::Life before = std::exchange(last_service_state_, service_.Now());
+  const ops::ServiceState before = std::exchange(last_service_state_, service_.State());
   if (before == last_service_state_) return;
   const std::size_t pending = downstream_.PendingCount();
   log::Info("service.state",
@@ -212,11 +212,11 @@
              {"pending", pending}},
             "service state changed from {} to {}: {} client connections, {} pending requests",
             ops::Name(before), ops::Name(last_service_state_), downstream_.ConnectionCount(), pending);
-  if (last_service_state_ == ops::Life::kStandby) {
+  if (last_service_state_ == ops::ServiceState::kStandby) {
     const core::DrainTimetable timetable = core::StandbyTimetable(now);
     coordinator_.StartDrain(timetable);
     downstream_.StartDrain(timetable);
-  } else if (before == ops::Life::kStandby && last_service_state_ == ops::Life::kServing) {
+  } else if (before == ops::ServiceState::kStandby && last_service_state_ == ops::ServiceState::kServing) {
     coordinator_.EndDrain();
     downstream_.EndDrain();
   }
--- a/src/front/platform/platform_front.hpp
+++ b/src/front/platform/platform_front.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "front/ops/door.hpp"
+#include "front/ops/admin_listener.hpp"
 #include "front/platform/downstream_connections.hpp"
 #include "front/platform/endpoint_watcher.hpp"
 #include "front/platform/upstream_connections.hpp"
@@ -43,12 +43,12 @@
   }
 
  private:
-  ops::Figures Figures() const;
+  ops::Statistics Statistics() const;
   void Complete(const core::CompleteRequest& command);
   void Respond(RequestId id);
   void ApplySettings(Retuned retuned);
   void ApplyServiceState(Micros now);
-  void AddStats(ops::Figures& figures) const;
+  void AddStats(ops::Statistics& figures) const;
   void LogReload(const std::vector<std::string>& added, const std::vector<std::string>& dropped) const;
 
   const std::size_t max_downstream_backlog_;
@@ -60,13 +60,13 @@
   UpstreamConnections upstream_;
   EndpointWatcher endpoint_watcher_;
   ops::Service service_;
-  ops::Life last_service_state_ = ops::Life::kStarting;  // the state that was last applied
+  ops::ServiceState last_service_state_ = ops::ServiceState::kStarting;  // the state that was last applied
   std::uint64_t rejected_draining_count_ = 0;
   std::uint64_t failed_deadline_count_ = 0;
-  ops::Figures counters_;  // only the figures counted as events happen; Figures() computes the others
-  ops::Views views_;
+  ops::Statistics counters_;  // only the figures counted as events happen; Statistics() computes the others
+  ops::AdminViews views_;
   front::AttachedServices attached_;
-  std::optional<front::OpsDoor> admin_listener_;
+  std::optional<front::AdminListener> admin_listener_;
 };
 
 }  // namespace tinspan::platform
--- a/src/front/runner.hpp
+++ b/src/front/runner.hpp
@@ -61,8 +61,8 @@
 /// Hooks of the services attached to a front (fleet membership, leases): their admin views, their statistics,
 /// and the notifications that they get from the front. Each may be empty.
 struct AttachedServices {
-  ops::Views views;
-  std::function<void(ops::Figures&)> add_stats;
+  ops::AdminViews views;
+  std::function<void(ops::Statistics&)> add_stats;
   /// Called at the start of a graceful shutdown.
   std::function<void()> on_drain;
   /// Called once per second with the servers that failed recently.
--- a/src/ops/ops.cpp
+++ b/src/ops/ops.cpp
@@ -54,33 +54,33 @@
   return {.call = {}, .error = "unknown call " + std::string(name)};
 }
 
-std::string_view Name(Life state) {
+std::string_view Name(ServiceState state) {
   switch (state) {
-    case Life::kStarting:
+    case ServiceState::kStarting:
       return "starting";
-    case Life::kServing:
+    case ServiceState::kServing:
       return "serving";
-    case Life::kStandby:
+    case ServiceState::kStandby:
       return "standby";
-    case Life::kStopping:
+    case ServiceState::kStopping:
       return "stopping";
   }
   return "unknown";
 }
 
-bool Service::Standby() {
-  if (state_ == Life::kStopping || state_ == Life::kStandby) return false;
-  state_ = Life::kStandby;
+bool Service::EnterStandby() {
+  if (state_ == ServiceState::kStopping || state_ == ServiceState::kStandby) return false;
+  state_ = ServiceState::kStandby;
   return true;
 }
 
-bool Service::Active() {
-  if (state_ != Life::kStandby) return false;
-  state_ = Life::kServing;
+bool Service::LeaveStandby() {
+  if (state_ != ServiceState::kStandby) return false;
+  state_ = ServiceState::kServing;
   return true;
 }
 
-std::string FormatPrometheus(const Figures& figures, std::string_view prefix) {
+std::string FormatPrometheus(const Statistics& figures, std::string_view prefix) {
   struct Line {
     std::string_view name;
     std::string_view type;
@@ -102,16 +102,17 @@
     out += name + " " + std::to_string(value) + "\n";
   };
   for (const Line& line : lines) add(line.name, line.type, line.value);
-  for (const Figures::ExtraStatistic& line : figures.more) add(line.name, line.type, line.value);
+  for (const Statistics::ExtraStatistic& line : figures.more) add(line.name, line.type, line.value);
   return out;
 }
 
-std::string HandleCall(std::string_view line, Service& service, const Figures& figures, const Views& views) {
+std::string HandleCall(std::string_view line, Service& service, const Statistics& figures,
+                       const AdminViews& views) {
   const ParsedCall parsed = ParseCall(line);
   if (!parsed.call) return "error " + parsed.error + "\n";
   switch (*parsed.call) {
     case Call::kStatus:
-      return (service.IsReady() ? "done " : "error ") + std::string(Name(service.Now())) + "\n";
+      return (service.IsReady() ? "done " : "error ") + std::string(Name(service.State())) + "\n";
     case Call::kStats:
       return "done\n" + FormatPrometheus(figures, "proxy") + "end\n";
     case Call::kMembers:
@@ -122,13 +123,13 @@
       return "done\n" + views.leases() + "end\n";
     case Call::kStandby:
       if (!service.CanStandBy()) return "error the gateway takes no standby\n";
-      if (service.Now() == Life::kStopping) return "error stopping, standby has no meaning now\n";
-      service.Standby();
+      if (service.State() == ServiceState::kStopping) return "error stopping, standby has no meaning now\n";
+      service.EnterStandby();
       return "done standby\n";
     case Call::kActive:
       if (!service.CanStandBy()) return "error the gateway takes no standby\n";
-      if (service.Now() == Life::kStopping) return "error stopping, cannot take clients again\n";
-      service.Active();
+      if (service.State() == ServiceState::kStopping) return "error stopping, cannot take clients again\n";
+      service.LeaveStandby();
       return "done active\n";
   }
   return "error unknown call\n";
--- a/src/ops/ops.hpp
+++ b/src/ops/ops.hpp
@@ -30,14 +30,14 @@
 ParsedCall ParseCall(std::string_view line);
 
 /// The service state of the process.
-enum class Life {
+enum class ServiceState {
   kStarting,  // not serving yet
   kServing,
   kStandby,   // clients are drained
   kStopping,  // after SIGTERM; final
 };
 /// The state's name in responses.
-std::string_view Name(Life state);
+std::string_view Name(ServiceState state);
 
 /// The service state and its transitions. Not thread-safe.
 class Service {
@@ -47,24 +47,24 @@
   explicit Service(bool can_stand_by = true) : can_stand_by_(can_stand_by) {}
   bool CanStandBy() const { return can_stand_by_; }
   /// Leaves the state starting; no effect in any other state.
-  void Serving() {
-    if (state_ == Life::kStarting) state_ = Life::kServing;
+  void MarkServing() {
+    if (state_ == ServiceState::kStarting) state_ = ServiceState::kServing;
   }
   /// Enters or leaves standby. Returns false if the state did not change: it was in standby already (or was
-  /// not, for Active), or it is stopping.
-  bool Standby();
-  bool Active();
-  void Stopping() { state_ = Life::kStopping; }
-  Life Now() const { return state_; }
-  bool IsReady() const { return state_ == Life::kServing; }
+  /// not, for LeaveStandby), or it is stopping.
+  bool EnterStandby();
+  bool LeaveStandby();
+  void MarkStopping() { state_ = ServiceState::kStopping; }
+  ServiceState State() const { return state_; }
+  bool IsReady() const { return state_ == ServiceState::kServing; }
 
  private:
   bool can_stand_by_;
-  Life state_ = Life::kStarting;
+  ServiceState state_ = ServiceState::kStarting;
 };
 
 /// The statistics of the `stats` call; totals count from the start of the process.
-struct Figures {
+struct Statistics {
   std::uint64_t completed = 0;  // served
   std::uint64_t rejected = 0;   // with a retry-after time
   std::uint64_t failed = 0;
@@ -85,16 +85,16 @@
 
 /// Providers of the `members` and `leases` responses: one line per entry, evaluated only when called. Empty
 /// if the component is disabled.
-struct Views {
+struct AdminViews {
   std::function<std::string()> members;
   std::function<std::string()> leases;
 };
 /// Formats the statistics in the Prometheus text format. Names get the prefix `prefix`_; each line ends with
 /// LF.
-std::string FormatPrometheus(const Figures& figures, std::string_view prefix);
+std::string FormatPrometheus(const Statistics& figures, std::string_view prefix);
 
 /// Executes the call in `line` on `service` and returns the complete response.
-std::string HandleCall(std::string_view line, Service& service, const Figures& figures,
-                       const Views& views = {});
+std::string HandleCall(std::string_view line, Service& service, const Statistics& figures,
+                       const AdminViews& views = {});
 
 }  // namespace tinspan::ops
