--- a/src/core/drain.cpp
+++ b/src/core/drain.cpp
@@ -79,19 +79,19 @@
 }
 
 EndDecision DecideEnd(const DrainTimetable& timetable, const ConnectionActivity& activity, Micros now) {
-  if (now < timetable.close_idle_from) return {.ask_again_at = timetable.close_idle_from};
+  if (now < timetable.close_idle_from) return {.recheck_at = timetable.close_idle_from};
   // Checked again when the response is sent or the client reads the backlog.
   if (activity.in_flight > 0 || activity.backlog_bytes > 0) return {};
   if (now >= timetable.close_by) {
-    const bool can_read_more = activity.has_pending_input && activity.looks_past_close < kMaxChecksPastClose;
-    if (can_read_more) return {.ask_again_at = now + kPendingInputInterval};
+    const bool can_read_more = activity.has_pending_input && activity.checks_past_close < kMaxChecksPastClose;
+    if (can_read_more) return {.recheck_at = now + kPendingInputInterval};
     const bool is_busy = activity.has_partial_message || activity.has_pending_input;
-    return {.reason = is_busy ? EndReason::kTimedOut : EndReason::kRested};
+    return {.reason = is_busy ? EndReason::kTimedOut : EndReason::kIdle};
   }
   const Micros idle_at = IdleAt(activity, now);
-  if (now < idle_at) return {.ask_again_at = std::min(idle_at, timetable.close_by)};
-  if (activity.has_pending_input) return {.ask_again_at = now + kPendingInputInterval};
-  return {.reason = EndReason::kRested};
+  if (now < idle_at) return {.recheck_at = std::min(idle_at, timetable.close_by)};
+  if (activity.has_pending_input) return {.recheck_at = now + kPendingInputInterval};
+  return {.reason = EndReason::kIdle};
 }
 
 }  // namespace tinspan::core
--- a/src/core/drain.hpp
+++ b/src/core/drain.hpp
@@ -48,20 +48,20 @@
   bool has_response = false;         // at least one response was written
   bool has_partial_message = false;  // the beginning of a message was received
   bool has_pending_input = false;    // the socket holds unread bytes
-  int looks_past_close = 0;          // earlier checks since `close_by`
+  int checks_past_close = 0;         // earlier checks since `close_by`
 };
 
 /// Why a connection is closed.
 enum class EndReason : std::uint8_t {
   kNone,      // the connection stays open
-  kRested,    // the connection was idle
+  kIdle,      // the connection was idle
   kTimedOut,  // no request in flight at `close_by`, but the client was still sending
 };
 
 /// Whether to close a connection, and when to check it again at the latest.
 struct EndDecision {
   EndReason reason = EndReason::kNone;
-  Micros ask_again_at = Micros::max();
+  Micros recheck_at = Micros::max();
 };
 
 /// Decides whether a connection is closed at `now`.
--- a/src/front/platform/downstream_client.cpp
+++ b/src/front/platform/downstream_client.cpp
@@ -26,7 +26,7 @@
           .has_response = has_response,
           .has_partial_message = !connection->Unread().empty(),
           .has_pending_input = connection->HasPendingInput(),
-          .looks_past_close = looks_past_close};
+          .checks_past_close = checks_past_close};
 }
 
 }  // namespace tinspan::platform
--- a/src/front/platform/downstream_client.hpp
+++ b/src/front/platform/downstream_client.hpp
@@ -23,7 +23,7 @@
   std::unordered_set<std::string> cancelled_tags;  // found by that scan; the calls are still unhandled
   std::uint64_t last_bytes_sent = 0;
   Micros last_progress_at{0};        // when last_bytes_sent last changed
-  int looks_past_close = 0;          // drain checks since close_by (core/drain.hpp)
+  int checks_past_close = 0;         // drain checks since close_by (core/drain.hpp)
   bool has_response = false;         // at least one response has been written
   bool is_intake_paused = false;     // no new request is accepted
   bool is_ended = false;             // either side has ended the connection; it may still linger
--- a/src/front/platform/downstream_connections.cpp
+++ b/src/front/platform/downstream_connections.cpp
@@ -408,10 +408,10 @@
     const net::Connection& connection = *client.connection;
     if (connection.IsClosed() || connection.IsLingering()) continue;
     const core::EndDecision decision = core::DecideEnd(*drain_, client.Activity(), now);
-    ScheduleDrainCheck(now, decision.ask_again_at);
-    if (now >= drain_->close_by) ++client.looks_past_close;
+    ScheduleDrainCheck(now, decision.recheck_at);
+    if (now >= drain_->close_by) ++client.checks_past_close;
     if (decision.reason == core::EndReason::kNone) continue;
-    const bool is_idle = decision.reason == core::EndReason::kRested;
+    const bool is_idle = decision.reason == core::EndReason::kIdle;
     Linger(client, now, is_idle ? ClientCloseReason::kDrained : ClientCloseReason::kDrainDeadline);
   }
 }
--- a/tests/drain_test.cpp
+++ b/tests/drain_test.cpp
@@ -46,23 +46,22 @@
 }
 
 ConnectionActivity AfterLooks(ConnectionActivity activity, int looks) {
-  activity.looks_past_close = looks;
+  activity.checks_past_close = looks;
   return activity;
 }
 
 TEST(DrainTest, DecidesForStandby) {
   const ConnectionActivity idle = At(Ms(-5000), Ms(-1000));
   const std::vector<DecisionCase> cases{
-      {"idle", Ms(0), idle, EndReason::kRested},
+      {"idle", Ms(0), idle, EndReason::kIdle},
       {"a request in flight", Ms(0), At(Ms(-5000), Ms(-10), 1), EndReason::kNone},
       {"still in flight after close_by", Ms(5000), At(Ms(-5000), Ms(-10), 1), EndReason::kNone},
       {"a response not read", Ms(3500), At(Ms(-5000), Ms(-10), 0, 1), EndReason::kNone},
       {"newly connected", Ms(40), WithoutResponse(At(Ms(0), Ms(0))), EndReason::kNone},
-      {"connected and silent", Ms(60), WithoutResponse(At(Ms(0), Ms(0))), EndReason::kRested},
+      {"connected and silent", Ms(60), WithoutResponse(At(Ms(0), Ms(0))), EndReason::kIdle},
       {"partial message, still receiving", Ms(200), WithPartialMessage(At(Ms(-5000), Ms(0))),
        EndReason::kNone},
-      {"partial message, then silence", Ms(310), WithPartialMessage(At(Ms(-5000), Ms(0))),
-       EndReason::kRested},
+      {"partial message, then silence", Ms(310), WithPartialMessage(At(Ms(-5000), Ms(0))), EndReason::kIdle},
       {"slow sender", Ms(3390), WithPartialMessage(At(Ms(-5000), Ms(3300))), EndReason::kNone},
       {"slow sender at close_by", Ms(3400), WithPartialMessage(At(Ms(-5000), Ms(3399))),
        EndReason::kTimedOut},
