--- a/src/cli/records.cpp
+++ b/src/cli/records.cpp
@@ -22,17 +22,17 @@
   return values.count(option) > 0 ? values[option].as<std::string>() : std::string();
 }
 
-void PrintTrouble(const record::Trouble& trouble) {
-  std::cerr << trouble.file << ": offset " << trouble.offset << ": " << trouble.what << "\n";
+void PrintReadError(const record::ReadError& error) {
+  std::cerr << error.file << ": offset " << error.offset << ": " << error.message << "\n";
 }
 
 using Incarnation = std::pair<std::string, std::int64_t>;
 
 // Sums up the records of each incarnation.
-class Summary final : public record::Sink {
+class Summary final : public record::RecordSink {
  public:
   struct Totals {
-    record::Book book;
+    record::Dictionary dictionary;
     std::map<std::uint32_t, bool> segments;
     std::optional<Micros> from, to;
     std::uint64_t records = 0, requests = 0, traces = 0, dropped_records = 0;
@@ -40,7 +40,7 @@
   };
   void OnRecord(const SegmentName& from, Micros at, const wire::Record& record) override {
     Totals& totals = incarnations[{from.prefix, from.incarnation}];
-    totals.book.Note(record);
+    totals.dictionary.Apply(record);
     totals.segments[from.segment] = true;
     totals.from = std::min(totals.from.value_or(at), at);
     totals.to = std::max(totals.to.value_or(at), at);
@@ -53,16 +53,16 @@
     if (record.has_life() && record.life().what() == wire::Life::STOPPED) totals.end = "stopped";
     if (record.has_life() && record.life().what() == wire::Life::CUT) totals.end = "cut";
   }
-  void OnTrouble(const record::Trouble& trouble) override {
-    PrintTrouble(trouble);
-    ++troubles;
+  void OnReadError(const record::ReadError& error) override {
+    PrintReadError(error);
+    ++read_errors;
   }
   std::map<Incarnation, Totals> incarnations;
-  std::uint64_t troubles = 0;
+  std::uint64_t read_errors = 0;
 };
 
 // Prints the records that pass the filters as JSON lines.
-class Printer final : public record::Sink {
+class Printer final : public record::RecordSink {
  public:
   explicit Printer(const Values& values)
       : from_(TimeOption(values, "from")),
@@ -80,18 +80,18 @@
     }
   }
   void OnRecord(const SegmentName& from, Micros at, const wire::Record& record) override {
-    record::Book& book = books_[{from.prefix, from.incarnation}];
-    book.Note(record);
+    record::Dictionary& dictionary = dictionaries_[{from.prefix, from.incarnation}];
+    dictionary.Apply(record);
     if ((from_ && at < *from_) || (to_ && at > *to_)) return;
     if (!kind_.empty() && record::KindOf(record) != kind_) return;
     if (request_ && !(record.has_trace() && record.trace().request() == *request_)) return;
-    auto json = record::ToJson(book, at, record);
+    auto json = record::ToJson(dictionary, at, record);
     if (!server_.empty() && !HasMember(json, {"server", "source", "name"}, server_)) return;
     if (!class_.empty() && !HasMember(json, {"class"}, class_)) return;
     std::cout << json.dump(-1, ' ', false, nlohmann::ordered_json::error_handler_t::replace) << "\n";
   }
-  void OnTrouble(const record::Trouble& trouble) override {
-    PrintTrouble(trouble);
+  void OnReadError(const record::ReadError& error) override {
+    PrintReadError(error);
     has_troubles_ = true;
   }
   bool HasTroubles() const { return has_troubles_; }
@@ -109,13 +109,13 @@
   std::optional<Micros> from_, to_;
   std::string kind_, server_, class_;
   std::optional<std::uint64_t> request_;
-  std::map<Incarnation, record::Book> books_;
+  std::map<Incarnation, record::Dictionary> dictionaries_;
   bool has_troubles_ = false;
 };
 
 }  // namespace
 
-std::uint64_t ReadAll(const std::vector<std::string>& paths, record::Sink& sink) {
+std::uint64_t ReadRecords(const std::vector<std::string>& paths, record::RecordSink& sink) {
   record::FolderReader reader(paths);
   if (reader.Poll(sink) == 0) {
     throw std::runtime_error(paths[0] + ": no records are here (NAME.START.NUMBER.tsrec)");
@@ -148,33 +148,33 @@
 
 int RunRecordsList(const Values&, const std::vector<std::string>& arguments) {
   Summary summary;
-  const std::uint64_t bytes = ReadAll(arguments, summary);
+  const std::uint64_t bytes = ReadRecords(arguments, summary);
   for (const auto& [key, totals] : summary.incarnations) {
-    std::cout << totals.book.Header().name() << "  started " << TimeText(Micros{key.second}) << "  records "
-              << TimeText(totals.from.value_or(Micros{0})) << " to "
+    std::cout << totals.dictionary.Header().name() << "  started " << TimeText(Micros{key.second})
+              << "  records " << TimeText(totals.from.value_or(Micros{0})) << " to "
               << TimeText(totals.to.value_or(Micros{0})) << "  " << totals.segments.size() << " segments  "
               << totals.requests << " requests  " << totals.traces << " traces  " << totals.end;
     if (totals.dropped_records > 0) std::cout << "  " << totals.dropped_records << " records dropped";
     std::cout << "\n";
   }
-  std::cout << summary.incarnations.size() << " lives, " << bytes << " bytes, " << summary.troubles
+  std::cout << summary.incarnations.size() << " lives, " << bytes << " bytes, " << summary.read_errors
             << " troubles\n";
   return 0;
 }
 
 int RunRecordsCat(const Values& values, const std::vector<std::string>& arguments) {
   Printer printer(values);
-  ReadAll(arguments, printer);
+  ReadRecords(arguments, printer);
   return printer.HasTroubles() ? 1 : 0;
 }
 
 int RunRecordsVerify(const Values&, const std::vector<std::string>& arguments) {
   Summary summary;
-  const std::uint64_t bytes = ReadAll(arguments, summary);
+  const std::uint64_t bytes = ReadRecords(arguments, summary);
   std::uint64_t records = 0;
   for (const auto& [key, totals] : summary.incarnations) records += totals.records;
-  std::cout << records << " records in " << bytes << " bytes, " << summary.troubles << " troubles\n";
-  return summary.troubles == 0 ? 0 : 1;
+  std::cout << records << " records in " << bytes << " bytes, " << summary.read_errors << " troubles\n";
+  return summary.read_errors == 0 ? 0 : 1;
 }
 
 }  // namespace tinspan::cli
--- a/src/cli/records.hpp
+++ b/src/cli/records.hpp
@@ -18,7 +18,7 @@
 
 // Passes all records that are in the folders now to `sink` and returns the number of bytes read. Throws
 // std::runtime_error if there are no segments.
-std::uint64_t ReadAll(const std::vector<std::string>& paths, record::Sink& sink);
+std::uint64_t ReadRecords(const std::vector<std::string>& paths, record::RecordSink& sink);
 // The value of a time option; nothing if it is not given. Throws Usage if it is not a time.
 std::optional<Micros> TimeOption(const Values& values, const char* option);
 
--- a/src/cli/report.cpp
+++ b/src/cli/report.cpp
@@ -42,7 +42,7 @@
   if (options.from && options.to && *options.from >= *options.to)
     throw Usage{"option '--to': expected a time after --from"};
   timeline::InstanceTimelines timelines;
-  ReadAll(arguments, timelines);
+  ReadRecords(arguments, timelines);
   const timeline::FleetTimeline fleet = timeline::BuildFleetTimeline(timelines, options);
   if (fleet.instances.empty())
     throw std::runtime_error(arguments[0] + ": nothing in these records can be read");
--- a/src/console/remote.cpp
+++ b/src/console/remote.cpp
@@ -15,7 +15,8 @@
 
 }  // namespace
 
-Remote::Remote(net::EventLoop& loop, const net::Endpoint& endpoint, std::string token, record::Sink& sink)
+Remote::Remote(net::EventLoop& loop, const net::Endpoint& endpoint, std::string token,
+               record::RecordSink& sink)
     : loop_(loop), endpoint_(endpoint), token_(std::move(token)), sink_(sink) {
   SendRequest();
 }
@@ -75,8 +76,8 @@
   if (!reader_) return;
   reader_->Feed(bytes);
   for (auto state = reader_->Next(); state != record::SegmentReader::State::kMore; state = reader_->Next()) {
-    if (state == record::SegmentReader::State::kTrouble) {
-      sink_.OnTrouble(reader_->Problem());
+    if (state == record::SegmentReader::State::kError) {
+      sink_.OnReadError(reader_->Error());
       continue;
     }
     const record::wire::Record& record = reader_->Record();
@@ -84,7 +85,7 @@
       name_ = {endpoint_.Text(), record.header().name(), record.header().incarnation(),
                record.header().segment()};
     }
-    sink_.OnRecord(name_, reader_->At(), record);
+    sink_.OnRecord(name_, reader_->Time(), record);
   }
 }
 
--- a/src/console/remote.hpp
+++ b/src/console/remote.hpp
@@ -13,7 +13,7 @@
  public:
   // `token` is the operator's token. Records go to `sink`, which must outlive this object. After a failure
   // the next request continues at the same offset.
-  Remote(net::EventLoop& loop, const net::Endpoint& endpoint, std::string token, record::Sink& sink);
+  Remote(net::EventLoop& loop, const net::Endpoint& endpoint, std::string token, record::RecordSink& sink);
   ~Remote();
 
   // Why no records arrive; empty if they do.
@@ -36,7 +36,7 @@
   net::EventLoop& loop_;
   const net::Endpoint endpoint_;
   const std::string token_;
-  record::Sink& sink_;
+  record::RecordSink& sink_;
   std::unique_ptr<net::Connection> connection_, closed_connection_;
   net::TimerQueue::Id timer_{};
   std::uint64_t offset_ = 0;
--- a/src/console/screen.cpp
+++ b/src/console/screen.cpp
@@ -44,7 +44,7 @@
 
 // Sums of one incarnation over the last kRateSpanSeconds whole seconds before `at`, per class.
 std::vector<Rates> RatesBefore(const Incarnation& incarnation, Micros at) {
-  const auto& classes = incarnation.book.Header().classes();
+  const auto& classes = incarnation.dictionary.Header().classes();
   std::vector<Rates> out(static_cast<std::size_t>(classes.size()));
   const std::int64_t last = at / kSecond;
   for (auto by_class = incarnation.counts_by_second.lower_bound(last - kRateSpanSeconds);
@@ -53,11 +53,11 @@
       const ClassCounts& counts = by_class->second[c];
       const wire::Class& class_info = classes.Get(static_cast<int>(c));
       out[c].sum += counts;
-      for (std::uint32_t e = 0; e < record::kEndings; ++e) {
-        const auto ending = static_cast<record::Ending>(e);
+      for (std::uint32_t e = 0; e < record::kRequestOutcomeCount; ++e) {
+        const auto ending = static_cast<record::RequestOutcome>(e);
         const double weight = static_cast<double>(counts.ended[e]) * class_info.worth();
-        if (ending != record::Ending::kLeft) out[c].weight += weight;
-        out[c].earned_weight += weight * record::Earned(ending, class_info);
+        if (ending != record::RequestOutcome::kClientDisconnected) out[c].weight += weight;
+        out[c].earned_weight += weight * record::EarnedShare(ending, class_info);
       }
     }
   }
@@ -101,7 +101,7 @@
         all.sum += rates.sum;
         all.weight += rates.weight;
         all.earned_weight += rates.earned_weight;
-        refused += rates.sum.ended[static_cast<std::size_t>(record::Ending::kRefused)];
+        refused += rates.sum.ended[static_cast<std::size_t>(record::RequestOutcome::kRejected)];
         done += rates.sum.Ended();
       }
       line += Format(" %7.1f %8s %8s %6s", static_cast<double>(all.sum.received) / kRateSpanSeconds,
@@ -127,7 +127,7 @@
     if (at - incarnation->last_record_at > kStaleAfter) continue;
     const std::vector<Rates> rates = RatesBefore(*incarnation, at);
     for (std::size_t c = 0; c < rates.size(); ++c) {
-      const std::string name = incarnation->book.ClassName(static_cast<std::uint32_t>(c));
+      const std::string name = incarnation->dictionary.ClassName(static_cast<std::uint32_t>(c));
       auto found = std::find_if(classes.begin(), classes.end(),
                                 [&](const auto& entry) { return entry.first == name; });
       if (found == classes.end()) found = classes.insert(classes.end(), {name, {}});
@@ -157,7 +157,8 @@
         {Format("       %-*.*s %7.1f %8s %8s %8s %9s %9s", name_width, name_width, name.c_str(),
                 static_cast<double>(counts.received) / kRateSpanSeconds,
                 Percent(sum.rates.earned_weight, sum.rates.weight).c_str(),
-                Percent(static_cast<double>(counts.ended[static_cast<std::size_t>(record::Ending::kRefused)]),
+                Percent(static_cast<double>(
+                            counts.ended[static_cast<std::size_t>(record::RequestOutcome::kRejected)]),
                         static_cast<double>(counts.Ended()))
                     .c_str(),
                 Percent(static_cast<double>(counts.repeats), static_cast<double>(counts.received)).c_str(),
@@ -394,9 +395,9 @@
   out.push_back({"tinspan console  " + TimeText(at).substr(0, 19) + "Z" +
                      (view.held_at ? "  HELD, " + FormatAge(now - at) + " ago" : "  live") + "  " +
                      std::to_string(timelines.Incarnations().size()) + " lives" +
-                     (timelines.ReadFaults().empty()
+                     (timelines.ReadErrors().empty()
                           ? ""
-                          : "  " + std::to_string(timelines.ReadFaults().size()) + " places unreadable") +
+                          : "  " + std::to_string(timelines.ReadErrors().size()) + " places unreadable") +
                      "   ? help",
                  Style::kChosen});
   if (!view.source_fault.empty()) out.push_back({"! " + view.source_fault, Style::kBad});
--- a/src/record/book.hpp
+++ b/src/record/dictionary.hpp
@@ -9,10 +9,10 @@
 namespace tinspan::record {
 
 // Collects the Header and Server records of one incarnation and resolves the numbers in its other records.
-class Book {
+class Dictionary {
  public:
   // Must be called with each record, in order, before the record's numbers are resolved.
-  void Note(const wire::Record& record);
+  void Apply(const wire::Record& record);
   const wire::Header& Header() const { return header_; }
   // "class N" if the header does not list it.
   std::string ClassName(std::uint32_t class_id) const;
@@ -22,12 +22,12 @@
   const wire::Server* Server(std::uint32_t number) const;
 
   // The parts of a key in Window.ended or Window.attempts.
-  struct Key {
+  struct CountKey {
     std::uint32_t server = 0;
     std::uint32_t class_id = 0;
-    std::uint32_t what = 0;  // an Ending (Window.ended) or an Outcome (Window.attempts)
+    std::uint32_t outcome = 0;  // a RequestOutcome (Window.ended) or an Outcome (Window.attempts)
   };
-  Key Split(std::uint64_t key) const;
+  CountKey SplitCountKey(std::uint64_t key) const;
 
  private:
   wire::Header header_;
--- a/src/record/folder.cpp
+++ b/src/record/folder.cpp
@@ -58,7 +58,7 @@
   }
 }
 
-std::size_t FolderReader::Poll(Sink& sink) {
+std::size_t FolderReader::Poll(RecordSink& sink) {
   FindSegments();
   for (auto entry = segments_.begin(); entry != segments_.end(); ++entry) {
     Segment& segment = entry->second;
@@ -67,10 +67,10 @@
     if (segment.bytes_read == 0) {
       const auto previous = last_numbers_.find(key);
       if (previous != last_numbers_.end() && segment.name.segment > previous->second + 1) {
-        sink.OnTrouble({segment.name.path, 0,
-                        std::to_string(segment.name.segment - previous->second - 1) +
-                            " segments are missing before this one, from number " +
-                            std::to_string(previous->second + 1) + " on"});
+        sink.OnReadError({segment.name.path, 0,
+                          std::to_string(segment.name.segment - previous->second - 1) +
+                              " segments are missing before this one, from number " +
+                              std::to_string(previous->second + 1) + " on"});
       }
       std::uint32_t& last_number = last_numbers_[key];
       last_number = std::max(last_number, segment.name.segment);
@@ -88,11 +88,11 @@
   return segments_.size();
 }
 
-void FolderReader::ReadNewBytes(Segment& segment, Sink& sink) {
+void FolderReader::ReadNewBytes(Segment& segment, RecordSink& sink) {
   const net::Fd fd(::open(segment.name.path.c_str(), O_RDONLY | O_CLOEXEC));
   if (!fd) {
-    // A segment that was deleted by rotation since the listing is not reported as a trouble.
-    if (errno != ENOENT) sink.OnTrouble({segment.name.path, segment.bytes_read, std::strerror(errno)});
+    // A segment that was deleted by rotation since the listing is not reported as a read error.
+    if (errno != ENOENT) sink.OnReadError({segment.name.path, segment.bytes_read, std::strerror(errno)});
     segment.is_finished = true;
     return;
   }
@@ -101,7 +101,7 @@
     const ssize_t count =
         ::pread(fd.Get(), buffer.data(), buffer.size(), static_cast<off_t>(segment.bytes_read));
     if (count < 0 && errno == EINTR) continue;
-    if (count < 0) sink.OnTrouble({segment.name.path, segment.bytes_read, std::strerror(errno)});
+    if (count < 0) sink.OnReadError({segment.name.path, segment.bytes_read, std::strerror(errno)});
     if (count <= 0) return;
     segment.bytes_read += static_cast<std::uint64_t>(count);
     bytes_ += static_cast<std::uint64_t>(count);
@@ -110,20 +110,20 @@
   }
 }
 
-void FolderReader::DeliverRecords(Segment& segment, Sink& sink, bool is_at_end) {
+void FolderReader::DeliverRecords(Segment& segment, RecordSink& sink, bool is_at_end) {
   SegmentReader& reader = *segment.reader;
   while (true) {
     const auto state = is_at_end ? reader.End() : reader.Next();
     if (state == SegmentReader::State::kMore) return;
-    if (state == SegmentReader::State::kTrouble) {
-      sink.OnTrouble(reader.Problem());
+    if (state == SegmentReader::State::kError) {
+      sink.OnReadError(reader.Error());
     } else {
-      sink.OnRecord(segment.name, reader.At(), reader.Record());
+      sink.OnRecord(segment.name, reader.Time(), reader.Record());
     }
   }
 }
 
-void FolderReader::Finish(Sink& sink) {
+void FolderReader::Finish(RecordSink& sink) {
   for (auto& [name, segment] : segments_) {
     if (std::exchange(segment.is_finished, true)) continue;
     DeliverRecords(segment, sink, true);
--- a/src/record/folder.hpp
+++ b/src/record/folder.hpp
@@ -17,9 +17,9 @@
   // Throws std::runtime_error naming the path if one is neither a folder nor a readable segment.
   explicit FolderReader(std::vector<std::string> paths);
   // Reads everything written since the last call. Returns the number of segments known so far.
-  std::size_t Poll(Sink& sink);
+  std::size_t Poll(RecordSink& sink);
   // Ends the reading: an incomplete last record is reported as damage.
-  void Finish(Sink& sink);
+  void Finish(RecordSink& sink);
   std::uint64_t Bytes() const { return bytes_; }  // read so far
 
  private:
@@ -30,9 +30,9 @@
     bool is_finished = false;
   };
   void FindSegments();
-  void ReadNewBytes(Segment& segment, Sink& sink);
+  void ReadNewBytes(Segment& segment, RecordSink& sink);
   // Passes on what the segment's reader has decoded. `is_at_end`: no more bytes follow.
-  static void DeliverRecords(Segment& segment, Sink& sink, bool is_at_end);
+  static void DeliverRecords(Segment& segment, RecordSink& sink, bool is_at_end);
 
   std::vector<std::string> paths_;
   std::map<SegmentName, Segment> segments_;
--- a/src/record/json.cpp
+++ b/src/record/json.cpp
@@ -17,22 +17,22 @@
 double Millis(std::int64_t micros) { return static_cast<double>(micros) / 1000; }
 
 // `counts` holds Window.ended if `is_requests`, else Window.attempts.
-Json CountsToJson(const Book& book, const google::protobuf::RepeatedField<std::uint64_t>& counts,
+Json CountsToJson(const Dictionary& dictionary, const google::protobuf::RepeatedField<std::uint64_t>& counts,
                   bool is_requests) {
   Json out = Json::array();
   for (int i = 0; i + 1 < counts.size(); i += 2) {
-    const Book::Key key = book.Split(counts.Get(i));
-    Json entry{{"class", book.ClassName(key.class_id)}, {"server", book.ServerName(key.server)}};
+    const Dictionary::CountKey key = dictionary.SplitCountKey(counts.Get(i));
+    Json entry{{"class", dictionary.ClassName(key.class_id)}, {"server", dictionary.ServerName(key.server)}};
     if (is_requests) {
-      entry["verdict"] = Name(static_cast<Ending>(key.what));
-      const auto& classes = book.Header().classes();
+      entry["verdict"] = Name(static_cast<RequestOutcome>(key.outcome));
+      const auto& classes = dictionary.Header().classes();
       if (key.class_id < static_cast<std::uint32_t>(classes.size())) {
         const wire::Class& class_settings = classes.Get(static_cast<int>(key.class_id));
         entry["worth"] = static_cast<double>(counts.Get(i + 1)) * class_settings.worth() *
-                         Earned(static_cast<Ending>(key.what), class_settings);
+                         EarnedShare(static_cast<RequestOutcome>(key.outcome), class_settings);
       }
     } else {
-      entry["outcome"] = Name(static_cast<Outcome>(key.what));
+      entry["outcome"] = Name(static_cast<Outcome>(key.outcome));
     }
     entry["count"] = counts.Get(i + 1);
     out.push_back(std::move(entry));
@@ -40,12 +40,12 @@
   return out;
 }
 
-Json FieldsOf(const Book&, const wire::Heartbeat& heartbeat) {
+Json FieldsOf(const Dictionary&, const wire::Heartbeat& heartbeat) {
   return {{"wall", TimeText(Micros{heartbeat.wall_us()})},
           {"mono_us", heartbeat.mono_us()},
           {"open", heartbeat.open()}};
 }
-Json FieldsOf(const Book&, const wire::Life& life) {
+Json FieldsOf(const Dictionary&, const wire::Life& life) {
   std::string what = wire::Life::What_Name(life.what());
   std::transform(what.begin(), what.end(), what.begin(),
                  [](unsigned char character) { return std::tolower(character); });
@@ -54,12 +54,12 @@
   if (!life.text().empty()) out["text"] = life.text();
   return out;
 }
-Json FieldsOf(const Book& book, const wire::Server& server) {
+Json FieldsOf(const Dictionary& dictionary, const wire::Server& server) {
   Json out{{"number", server.number()},
            {"id", Hex(server.id())},
            {"name", server.name()},
            {"address", server.address()}};
-  const wire::Header& header = book.Header();
+  const wire::Header& header = dictionary.Header();
   if (server.zone() < static_cast<std::uint32_t>(header.zones_size()))
     out["zone"] = header.zones(static_cast<int>(server.zone()));
   if (server.kind() < static_cast<std::uint32_t>(header.kinds_size()))
@@ -67,11 +67,11 @@
   out["state"] = Name(static_cast<Availability>(server.state()));
   return out;
 }
-Json FieldsOf(const Book& book, const wire::Members& members) {
+Json FieldsOf(const Dictionary& dictionary, const wire::Members& members) {
   constexpr std::array kListKinds{"changes", "whole", "whole, perhaps old", "source lost"};
   Json list = Json::array();
   for (const wire::Member& entry : members.members()) {
-    Json member{{"server", book.ServerName(entry.server())},
+    Json member{{"server", dictionary.ServerName(entry.server())},
                 {"state", Name(static_cast<Availability>(entry.state()))},
                 {"weight", entry.weight()}};
     if (entry.started_us() != 0) member["started"] = TimeText(Micros{entry.started_us()});
@@ -82,45 +82,45 @@
           {"list", members.kind() < kListKinds.size() ? kListKinds[members.kind()] : "unknown"},
           {"members", std::move(list)}};
 }
-Json FieldsOf(const Book&, const wire::Purge& purge) {
+Json FieldsOf(const Dictionary&, const wire::Purge& purge) {
   Json out{{"made", TimeText(Micros{purge.made_us()})}};
   purge.object() != 0 ? out["object"] = Hex(purge.object()) : out["group"] = Hex(purge.group());
   return out;
 }
-Json FieldsOf(const Book& book, const wire::Window& window) {
+Json FieldsOf(const Dictionary& dictionary, const wire::Window& window) {
   Json received = Json::array(), latency = Json::array();
   for (int i = 0; i + 1 < window.came_size(); i += 2) {
-    received.push_back({{"class", book.ClassName(window.came(i))}, {"count", window.came(i + 1)}});
+    received.push_back({{"class", dictionary.ClassName(window.came(i))}, {"count", window.came(i + 1)}});
   }
   for (int i = 0; i + 1 < window.latency_size(); i += 2) {
-    latency.push_back({{"class", book.ClassName(window.latency(i) / 256)},
-                       {"from_ms", Millis(LatencyOf(window.latency(i) % 256).count())},
+    latency.push_back({{"class", dictionary.ClassName(window.latency(i) / 256)},
+                       {"from_ms", Millis(LatencyBucketLowerEdge(window.latency(i) % 256).count())},
                        {"count", window.latency(i + 1)}});
   }
   Json repeats = Json::array();
   for (int i = 0; i + 1 < window.repeats_size(); i += 2) {
-    repeats.push_back({{"class", book.ClassName(window.repeats(i))}, {"count", window.repeats(i + 1)}});
+    repeats.push_back({{"class", dictionary.ClassName(window.repeats(i))}, {"count", window.repeats(i + 1)}});
   }
   Json out{{"length_ms", Millis(window.length_us())},
            {"came", std::move(received)},
-           {"ended", CountsToJson(book, window.ended(), true)},
-           {"attempts", CountsToJson(book, window.attempts(), false)}};
+           {"ended", CountsToJson(dictionary, window.ended(), true)},
+           {"attempts", CountsToJson(dictionary, window.attempts(), false)}};
   if (!repeats.empty()) out["repeats"] = std::move(repeats);
   if (!latency.empty()) out["latency"] = std::move(latency);
   return out;
 }
-Json FieldsOf(const Book& book, const wire::Trace& trace) {
+Json FieldsOf(const Dictionary& dictionary, const wire::Trace& trace) {
   constexpr std::array kFillNotes{"none",         "hit",           "filled",         "filled_via_origin",
                                   "joined",       "stale_hit",     "source_refused", "source_unreached",
                                   "source_lacks", "no_fill_place", "origin_failed"};
   Json attempts = Json::array();
   for (const wire::Attempt& entry : trace.attempts()) {
     Json attempt{{"number", entry.number()},
-                 {"server", book.ServerName(entry.server())},
+                 {"server", dictionary.ServerName(entry.server())},
                  {"sent_ms", Millis(entry.sent_us())},
                  {"took_ms", Millis(entry.took_us())},
                  {"outcome", Name(static_cast<Outcome>(entry.outcome()))}};
-    if (entry.source() != 0) attempt["source"] = book.ServerName(entry.source());
+    if (entry.source() != 0) attempt["source"] = dictionary.ServerName(entry.source());
     if (entry.note() != 0)
       attempt["note"] = entry.note() < kFillNotes.size() ? kFillNotes[entry.note()] : "unknown";
     if (entry.fill_wait_us() != 0) attempt["fill_wait_ms"] = Millis(entry.fill_wait_us());
@@ -129,7 +129,7 @@
     attempts.push_back(std::move(attempt));
   }
   Json out{{"request", trace.request()},
-           {"class", book.ClassName(trace.class_id())},
+           {"class", dictionary.ClassName(trace.class_id())},
            {"object", Hex(trace.object())},
            {"group", Hex(trace.group())},
            {"part", trace.part()},
@@ -137,17 +137,18 @@
            {"repeat", trace.repeat()},
            {"allow_ms", trace.allow_ms()},
            {"took_ms", Millis(trace.took_us())},
-           {"verdict", Name(static_cast<Ending>(trace.verdict()))}};
+           {"verdict", Name(static_cast<RequestOutcome>(trace.verdict()))}};
   if (trace.retry_after_ms() != 0) out["retry_after_ms"] = trace.retry_after_ms();
   out["sampled"] = trace.sampled();
   out["attempts"] = std::move(attempts);
   return out;
 }
-Json FieldsOf(const Book& book, const wire::Lost& lost) {
-  return {
-      {"server", book.ServerName(lost.server())}, {"connections", lost.connections()}, {"open", lost.open()}};
+Json FieldsOf(const Dictionary& dictionary, const wire::Lost& lost) {
+  return {{"server", dictionary.ServerName(lost.server())},
+          {"connections", lost.connections()},
+          {"open", lost.open()}};
 }
-Json FieldsOf(const Book&, const wire::Header& header) {
+Json FieldsOf(const Dictionary&, const wire::Header& header) {
   Json classes = Json::array();
   for (const wire::Class& class_settings : header.classes()) {
     classes.push_back({{"name", class_settings.name()},
@@ -178,46 +179,46 @@
 
 bool IsKind(std::string_view name) { return std::find(kKinds.begin(), kKinds.end(), name) != kKinds.end(); }
 
-Json ToJson(const Book& book, Micros at, const wire::Record& record) {
-  Json out{{"time", TimeText(at)}, {"instance", book.Header().name()}, {"kind", KindOf(record)}};
+Json ToJson(const Dictionary& dictionary, Micros at, const wire::Record& record) {
+  Json out{{"time", TimeText(at)}, {"instance", dictionary.Header().name()}, {"kind", KindOf(record)}};
   const auto add = [&](const Json& fields) { out.update(fields); };
   switch (record.what_case()) {
     case wire::Record::kHeartbeat:
-      add(FieldsOf(book, record.heartbeat()));
+      add(FieldsOf(dictionary, record.heartbeat()));
       break;
     case wire::Record::kLife:
-      add(FieldsOf(book, record.life()));
+      add(FieldsOf(dictionary, record.life()));
       break;
     case wire::Record::kServer:
-      add(FieldsOf(book, record.server()));
+      add(FieldsOf(dictionary, record.server()));
       break;
     case wire::Record::kMembers:
-      add(FieldsOf(book, record.members()));
+      add(FieldsOf(dictionary, record.members()));
       break;
     case wire::Record::kPurge:
-      add(FieldsOf(book, record.purge()));
+      add(FieldsOf(dictionary, record.purge()));
       break;
     case wire::Record::kWindow:
-      add(FieldsOf(book, record.window()));
+      add(FieldsOf(dictionary, record.window()));
       break;
     case wire::Record::kTrace:
-      add(FieldsOf(book, record.trace()));
+      add(FieldsOf(dictionary, record.trace()));
       break;
     case wire::Record::kRouterLine:
       out["text"] = record.router_line();
       break;
     case wire::Record::kLost:
-      add(FieldsOf(book, record.lost()));
+      add(FieldsOf(dictionary, record.lost()));
       break;
     case wire::Record::kGap:
       out["records"] = record.gap().records();
       out["bytes"] = record.gap().bytes();
       break;
     case wire::Record::kHeader:
-      add(FieldsOf(book, record.header()));
+      add(FieldsOf(dictionary, record.header()));
       break;
     case wire::Record::kDrain:
-      out["server"] = book.ServerName(record.drain().server());
+      out["server"] = dictionary.ServerName(record.drain().server());
       out["told"] = TimeText(at - Micros{record.drain().told_us()});
       out["sent"] = record.drain().sent();
       if (record.drain().sent() > 0) out["last_ms"] = Millis(record.drain().last_us());
--- a/src/record/json.hpp
+++ b/src/record/json.hpp
@@ -5,7 +5,7 @@
 #include <nlohmann/json.hpp>
 #include <string_view>
 
-#include "record/book.hpp"
+#include "record/dictionary.hpp"
 
 namespace tinspan::record {
 
@@ -13,9 +13,9 @@
 std::string_view KindOf(const wire::Record& record);
 // Whether KindOf returns this name for some record.
 bool IsKind(std::string_view name);
-// `at`: the record's Unix time, from Sink::OnRecord. `book` must have noted the incarnation's records
-// up to this one.
-nlohmann::ordered_json ToJson(const Book& book, Micros at, const wire::Record& record);
+// `at`: the record's Unix time, from RecordSink::OnRecord. `dictionary` must have had Apply called with the
+// incarnation's records up to this one.
+nlohmann::ordered_json ToJson(const Dictionary& dictionary, Micros at, const wire::Record& record);
 std::string Hex(std::uint64_t value);  // 16 hex digits
 
 }  // namespace tinspan::record
--- a/src/record/reader.cpp
+++ b/src/record/reader.cpp
@@ -61,9 +61,9 @@
 
 // ---- One segment. ----
 
-SegmentReader::State SegmentReader::ReportTrouble(std::uint64_t offset, std::string what) {
-  trouble_ = {file_, offset, std::move(what)};
-  return State::kTrouble;
+SegmentReader::State SegmentReader::ReportError(std::uint64_t offset, std::string message) {
+  error_ = {file_, offset, std::move(message)};
+  return State::kError;
 }
 
 SegmentReader::State SegmentReader::Next() { return Decode(frames_.Next()); }
@@ -75,33 +75,32 @@
   if (is_foreign_) return State::kMore;
   if (state == FrameState::kForeign) {
     is_foreign_ = true;
-    return ReportTrouble(
+    return ReportError(
         0, "no segment of ours, or one framed in a way that is not known here: passed over whole");
   }
   if (state == FrameState::kDamage) {
-    return ReportTrouble(frames_.DamageOffset(),
-                         std::to_string(frames_.DamageSize()) + " bytes that cannot be read, passed over");
+    return ReportError(frames_.DamageOffset(),
+                       std::to_string(frames_.DamageSize()) + " bytes that cannot be read, passed over");
   }
   if (state == FrameState::kMore) return State::kMore;
   offset_ = frames_.MessageOffset();
   const std::string_view message = frames_.Message();
   if (!record_.ParseFromArray(message.data(), static_cast<int>(message.size()))) {
-    return ReportTrouble(offset_, "a message that is whole and cannot be read, passed over");
+    return ReportError(offset_, "a message that is whole and cannot be read, passed over");
   }
-  if (!IsPlausible(record_))
-    return ReportTrouble(offset_, "a record with figures that cannot be, passed over");
+  if (!IsPlausible(record_)) return ReportError(offset_, "a record with figures that cannot be, passed over");
   if (record_.has_header()) {
     segment_start_us_ = record_.header().wall_us();
     header_wall_us_ = segment_start_us_;
     if (record_.header().format() > kFormat && !std::exchange(has_reported_newer_format_, true)) {
-      return ReportTrouble(offset_, "format " + std::to_string(record_.header().format()) + ", newer than " +
-                                        std::to_string(kFormat) + ": what is not known here is passed over");
+      return ReportError(offset_, "format " + std::to_string(record_.header().format()) + ", newer than " +
+                                      std::to_string(kFormat) + ": what is not known here is passed over");
     }
   } else if (!header_wall_us_) {
-    return ReportTrouble(offset_, "a record before any header: when it was is not known, passed over");
+    return ReportError(offset_, "a record before any header: when it was is not known, passed over");
   }
   if (record_.what_case() == wire::Record::WHAT_NOT_SET) {
-    return ReportTrouble(offset_, "a record of a kind that is not known here, passed over");
+    return ReportError(offset_, "a record of a kind that is not known here, passed over");
   }
   return State::kRecord;
 }
--- a/src/record/reader.hpp
+++ b/src/record/reader.hpp
@@ -3,7 +3,7 @@
 //
 // Pure: bytes in, records out (folder.hpp reads files). Nothing is repaired silently: an incomplete last
 // record, changed bytes, a missing segment and an unknown record or format are skipped as far as needed, and
-// each is reported as a Trouble with its file and offset.
+// each is reported as a ReadError with its file and offset.
 #pragma once
 
 #include <cstdint>
@@ -20,32 +20,32 @@
 namespace tinspan::record {
 
 // A part of the records that could not be read.
-struct Trouble {
+struct ReadError {
   std::string file;
   std::uint64_t offset = 0;  // in the file, in bytes
-  std::string what;
+  std::string message;
 };
 
 // Decodes the records of one segment from its bytes while they arrive. Pure; not thread-safe.
 class SegmentReader {
  public:
   explicit SegmentReader(std::string file) : file_(std::move(file)) {}
-  enum class State { kRecord, kTrouble, kMore };
+  enum class State { kRecord, kError, kMore };
   void Feed(std::string_view bytes) { frames_.Feed(bytes); }
-  // kRecord: Record(), At() and Offset() hold the next record. kTrouble: Problem() holds the trouble. kMore:
+  // kRecord: Record(), Time() and Offset() hold the next record. kError: Error() holds the error. kMore:
   // more bytes are needed.
   State Next();
   // As Next, once there are no more bytes. Must be called until it returns kMore.
   State End();
 
   const wire::Record& Record() const { return record_; }
-  Micros At() const { return Micros{segment_start_us_ + record_.at_us()}; }  // Unix time, see Sink
-  std::uint64_t Offset() const { return offset_; }                           // in the file, of its frame
-  const Trouble& Problem() const { return trouble_; }
+  Micros Time() const { return Micros{segment_start_us_ + record_.at_us()}; }  // Unix time, see RecordSink
+  std::uint64_t Offset() const { return offset_; }                             // in the file, of its frame
+  const ReadError& Error() const { return error_; }
 
  private:
   State Decode(FrameReader::State state);
-  State ReportTrouble(std::uint64_t offset, std::string what);
+  State ReportError(std::uint64_t offset, std::string message);
 
   std::string file_;
   FrameReader frames_;
@@ -55,7 +55,7 @@
   std::uint64_t offset_ = 0;
   bool is_foreign_ = false;  // not a segment
   bool has_reported_newer_format_ = false;
-  Trouble trouble_;
+  ReadError error_;
 };
 
 // A segment's file is named NAME.START.SEGMENT.tsrec; in NAME all but letters, digits and '-' become '_'.
@@ -78,14 +78,14 @@
 // Returns nothing if the file name is not that of a segment.
 std::optional<SegmentName> ParseSegmentName(const std::string& path);
 
-// Receives records and troubles.
-class Sink {
+// Receives records and read errors.
+class RecordSink {
  public:
-  virtual ~Sink() = default;
+  virtual ~RecordSink() = default;
   // The records of one incarnation arrive in the order in which they were written. `at` is Unix time: the
   // wall clock of the writer at the start of the segment plus the time since then on its monotonic clock.
   virtual void OnRecord(const SegmentName& from, Micros at, const wire::Record& record) = 0;
-  virtual void OnTrouble(const Trouble& trouble) = 0;
+  virtual void OnReadError(const ReadError& error) = 0;
 };
 
 }  // namespace tinspan::record
--- a/src/record/tracker.cpp
+++ b/src/record/tracker.cpp
@@ -26,10 +26,10 @@
 
 }  // namespace
 
-const char* Name(Ending ending) {
+const char* Name(RequestOutcome ending) {
   constexpr std::array kNames{"in_time", "stale",  "late",    "late_stale", "broken",
                               "refused", "failed", "overdue", "left"};
-  static_assert(kNames.size() == kEndings);
+  static_assert(kNames.size() == kRequestOutcomeCount);
   const auto index = static_cast<std::size_t>(ending);
   return index < kNames.size() ? kNames[index] : "unknown";
 }
@@ -47,15 +47,15 @@
   return index < kNames.size() ? kNames[index] : "unknown";
 }
 
-double Earned(Ending ending, const wire::Class& of) {
+double EarnedShare(RequestOutcome ending, const wire::Class& of) {
   switch (ending) {
-    case Ending::kInTime:
+    case RequestOutcome::kInTime:
       return 1;
-    case Ending::kStale:
+    case RequestOutcome::kStale:
       return of.stale_worth();
-    case Ending::kLate:
+    case RequestOutcome::kLate:
       return of.late_worth();
-    case Ending::kLateStale:
+    case RequestOutcome::kLateStale:
       return of.late_worth() * of.stale_worth();
     default:
       return 0;
@@ -68,7 +68,7 @@
       std::clamp<int>(LatencyAxis().index(value), 0, static_cast<int>(kBuckets) - 1));
 }
 
-Micros LatencyOf(std::uint32_t bucket) {
+Micros LatencyBucketLowerEdge(std::uint32_t bucket) {
   const int index = static_cast<int>(std::min(bucket, kBuckets - 1));
   return index == 0 ? Micros{0} : Micros{std::llround(LatencyAxis().value(index))};
 }
@@ -118,7 +118,7 @@
 
 void Tracker::On(const core::ClientDisconnected& event) {
   Request* const request = FindRequest(event.id);
-  if (request != nullptr && !request->ending) EndRequest(*request, Ending::kLeft, 0);
+  if (request != nullptr && !request->ending) EndRequest(*request, RequestOutcome::kClientDisconnected, 0);
 }
 
 void Tracker::On(const core::ResponseStarted& event) {
@@ -342,16 +342,16 @@
     ++latency_counts_[static_cast<std::uint32_t>(request->received.class_id) * kBuckets +
                       LatencyBucket(now_ - request->received_at)];
     EndRequest(*request,
-               is_late ? (is_stale ? Ending::kLateStale : Ending::kLate)
-                       : (is_stale ? Ending::kStale : Ending::kInTime),
+               is_late ? (is_stale ? RequestOutcome::kLateStale : RequestOutcome::kLate)
+                       : (is_stale ? RequestOutcome::kStale : RequestOutcome::kInTime),
                server_number);
   } else if (command.status == CompletionStatus::kTruncated) {
-    EndRequest(*request, Ending::kBroken, server_number);
+    EndRequest(*request, RequestOutcome::kTruncated, server_number);
   } else {
     EndRequest(*request,
-               command.deadline_exceeded                       ? Ending::kOverdue
-               : command.status == CompletionStatus::kRejected ? Ending::kRefused
-                                                               : Ending::kFailed,
+               command.deadline_exceeded                       ? RequestOutcome::kDeadlineExceeded
+               : command.status == CompletionStatus::kRejected ? RequestOutcome::kRejected
+                                                               : RequestOutcome::kFailed,
                server_number);
   }
 }
@@ -384,7 +384,7 @@
   if (server != servers_.end() && server->second.open_attempts > 0) --server->second.open_attempts;
 }
 
-void Tracker::EndRequest(Request& request, Ending ending, std::uint32_t server_number) {
+void Tracker::EndRequest(Request& request, RequestOutcome ending, std::uint32_t server_number) {
   request.ending = ending;
   request.ended_at = now_;
   ++ended_counts_[CountKey(server_number, request.received.class_id, static_cast<std::uint32_t>(ending))];
@@ -404,8 +404,9 @@
     has_open_attempt = has_open_attempt || !attempt.ended_at;
   }
   if (!request.ending || has_open_attempt) return;
-  const bool is_faultless = *request.ending == Ending::kInTime || *request.ending == Ending::kStale ||
-                            *request.ending == Ending::kLeft;
+  const bool is_faultless = *request.ending == RequestOutcome::kInTime ||
+                            *request.ending == RequestOutcome::kStale ||
+                            *request.ending == RequestOutcome::kClientDisconnected;
   const bool is_drawn = random_() % 1'000'000 < rules_.sample_ppm;
   if (!is_faultless || is_drawn) RecordTrace(id, request, is_faultless);
   requests_.erase(found);
@@ -490,9 +491,9 @@
   return record;
 }
 
-std::uint64_t Tracker::CountKey(std::uint32_t server_number, ClassId of, std::uint32_t what) const {
+std::uint64_t Tracker::CountKey(std::uint32_t server_number, ClassId of, std::uint32_t outcome) const {
   return (std::uint64_t{server_number} * settings_.classes.size() + static_cast<std::uint32_t>(of)) * 16 +
-         what;
+         outcome;
 }
 
 void Tracker::StartWindow() {
--- a/src/record/tracker.hpp
+++ b/src/record/tracker.hpp
@@ -24,30 +24,30 @@
 namespace tinspan::record {
 
 // How a request ended: its verdict in counts and traces. Verdicts up to kLateStale can earn worth.
-enum class Ending : std::uint32_t {
+enum class RequestOutcome : std::uint32_t {
   kInTime,
   kStale,      // in time, served from a copy past its freshness lifetime
   kLate,       // after the latency objective of its class
   kLateStale,  // both
-  kBroken,     // the response started and was not completed
-  kRefused,
+  kTruncated,  // the response started and was not completed
+  kRejected,
   kFailed,
-  kOverdue,  // refused or failed because its deadline had passed
-  kLeft      // the client disconnected before the response was complete
+  kDeadlineExceeded,   // refused or failed because its deadline had passed
+  kClientDisconnected  // the client disconnected before the response was complete
 };
-inline constexpr std::uint32_t kEndings = 9;
+inline constexpr std::uint32_t kRequestOutcomeCount = 9;
 // The names used in JSON and reports; "unknown" for a value that is out of range.
-const char* Name(Ending ending);
+const char* Name(RequestOutcome ending);
 const char* Name(Outcome outcome);
 const char* Name(Availability availability);
 // The share, 0 to 1, of a request's worth that a verdict earns in class `of`.
-double Earned(Ending ending, const wire::Class& of);
+double EarnedShare(RequestOutcome ending, const wire::Class& of);
 
 // The index of a latency's histogram bucket: 8 buckets per doubling from 64 us on; the last, 255, has no
 // upper limit.
 std::uint32_t LatencyBucket(Micros latency);
 // The lower edge of a bucket.
-Micros LatencyOf(std::uint32_t bucket);
+Micros LatencyBucketLowerEdge(std::uint32_t bucket);
 
 struct TrackerRules {
   std::uint32_t sample_ppm = 10'000;     // share of the requests without a fault that are traced
@@ -98,7 +98,7 @@
   struct Request {
     core::RequestReceived received;
     Micros received_at{0};
-    std::optional<Ending> ending;
+    std::optional<RequestOutcome> ending;
     Micros ended_at{0};
     std::uint32_t retry_after_ms = 0;
     bool is_deadline_exceeded = false;
@@ -145,11 +145,12 @@
   TrackedServer& FindOrAddServer(ServerId id, bool& is_new);
   // As FindOrAddServer, and appends a Server record for a new one.
   TrackedServer& FindOrRecordServer(ServerId id);
-  // The key of a count in Window.ended (`what`: an Ending) or Window.attempts (`what`: an Outcome).
-  std::uint64_t CountKey(std::uint32_t server_number, ClassId of, std::uint32_t what) const;
+  // The key of a count in Window.ended (`outcome`: a RequestOutcome) or Window.attempts (`outcome`: an
+  // Outcome).
+  std::uint64_t CountKey(std::uint32_t server_number, ClassId of, std::uint32_t outcome) const;
   void EncodeServer(const TrackedServer& server, wire::Server& out) const;
   void EndAttempt(Request& request, Attempt& attempt, Outcome outcome);
-  void EndRequest(Request& request, Ending ending, std::uint32_t server_number);
+  void EndRequest(Request& request, RequestOutcome ending, std::uint32_t server_number);
   void FinishRequest(RequestId id);
   void RecordTrace(RequestId id, const Request& request, bool is_sampled);
   // Starts the window of counts unless one is open.
--- a/src/report/html.cpp
+++ b/src/report/html.cpp
@@ -131,16 +131,18 @@
     Table table(out, {"class", "came", "repeats", "asked", "earned", "share", "in time", "stale", "late",
                       "broken", "refused", "failed", "overdue", "left", "lost"});
     const auto row = [&](const Tally& tally) {
-      using record::Ending;
-      const auto count = [&](Ending ending) { return tally.ended[static_cast<std::size_t>(ending)]; };
+      using record::RequestOutcome;
+      const auto count = [&](RequestOutcome ending) { return tally.ended[static_cast<std::size_t>(ending)]; };
       table.Row().Cell(tally.name).Cell(std::to_string(tally.received)).Cell(std::to_string(tally.repeats));
       table.Cell(FormatNumber(tally.requested_weight, 1))
           .Cell(FormatNumber(tally.earned_weight, 1))
           .Cell(FormatPercent(tally.EarnedShare()));
       for (const std::uint64_t number :
-           {count(Ending::kInTime), count(Ending::kStale), count(Ending::kLate) + count(Ending::kLateStale),
-            count(Ending::kBroken), count(Ending::kRefused), count(Ending::kFailed), count(Ending::kOverdue),
-            count(Ending::kLeft), tally.lost}) {
+           {count(RequestOutcome::kInTime), count(RequestOutcome::kStale),
+            count(RequestOutcome::kLate) + count(RequestOutcome::kLateStale),
+            count(RequestOutcome::kTruncated), count(RequestOutcome::kRejected),
+            count(RequestOutcome::kFailed), count(RequestOutcome::kDeadlineExceeded),
+            count(RequestOutcome::kClientDisconnected), tally.lost}) {
         table.Cell(std::to_string(number));
       }
       table.End();
@@ -306,11 +308,11 @@
     for (const WorstRequest& request : fleet.worst_requests) {
       wire::Record record;
       *record.mutable_trace() = request.trace;
-      const Json trace = record::ToJson(*request.book, request.at, record);
+      const Json trace = record::ToJson(*request.dictionary, request.at, record);
       out += "<details><summary>" + ClockText(request.at) + " " + EscapeHtml(request.instance) +
              ", request " + std::to_string(request.trace.request()) + ": " +
-             EscapeHtml(request.book->ClassName(request.trace.class_id())) + ", " +
-             record::Name(static_cast<record::Ending>(request.trace.verdict())) + " after " +
+             EscapeHtml(request.dictionary->ClassName(request.trace.class_id())) + ", " +
+             record::Name(static_cast<record::RequestOutcome>(request.trace.verdict())) + " after " +
              FormatNumber(request.trace.took_us() / 1000.0, 1) + " ms, " +
              std::to_string(request.trace.attempts_size()) + " attempts</summary>\n";
       {
@@ -335,10 +337,10 @@
       out += "</details>\n";
     }
   }
-  if (!fleet.read_faults.empty()) {
+  if (!fleet.read_errors.empty()) {
     out += "<h2>What could not be read</h2>\n<ul>\n";
-    for (std::size_t i = 0; i < std::min<std::size_t>(200, fleet.read_faults.size()); ++i)
-      out += "<li>" + EscapeHtml(fleet.read_faults[i]) + "</li>\n";
+    for (std::size_t i = 0; i < std::min<std::size_t>(200, fleet.read_errors.size()); ++i)
+      out += "<li>" + EscapeHtml(fleet.read_errors[i]) + "</li>\n";
     out += "</ul>\n";
   }
 }
--- a/src/report/json.cpp
+++ b/src/report/json.cpp
@@ -17,8 +17,8 @@
 
 Json ToJson(const Tally& tally) {
   Json ended = Json::object();
-  for (std::uint32_t e = 0; e < record::kEndings; ++e) {
-    if (tally.ended[e] > 0) ended[record::Name(static_cast<record::Ending>(e))] = tally.ended[e];
+  for (std::uint32_t e = 0; e < record::kRequestOutcomeCount; ++e) {
+    if (tally.ended[e] > 0) ended[record::Name(static_cast<record::RequestOutcome>(e))] = tally.ended[e];
   }
   return {{"name", tally.name},
           {"came", tally.received},
@@ -182,11 +182,11 @@
   for (const WorstRequest& request : fleet.worst_requests) {
     wire::Record record;
     *record.mutable_trace() = request.trace;
-    Json trace = record::ToJson(*request.book, request.at, record);
+    Json trace = record::ToJson(*request.dictionary, request.at, record);
     trace["instance"] = request.instance;
     out["worst"].push_back(std::move(trace));
   }
-  out["troubles"] = fleet.read_faults;
+  out["troubles"] = fleet.read_errors;
   return out;
 }
 
--- a/src/timeline/events.cpp
+++ b/src/timeline/events.cpp
@@ -69,7 +69,7 @@
       switch (event.kind) {
         case wire::Life::STARTED:
           add(event.at, EventKind::kStarted,
-              incarnation.name + " started, version " + incarnation.book.Header().version());
+              incarnation.name + " started, version " + incarnation.dictionary.Header().version());
           break;
         case wire::Life::SIGNALLED:
           add(event.at, EventKind::kSignalled,
--- a/src/timeline/fleet_timeline.cpp
+++ b/src/timeline/fleet_timeline.cpp
@@ -62,8 +62,8 @@
   if (!fleet.contradictions.empty())
     out.push_back(std::to_string(fleet.contradictions.size()) +
                   " pieces of evidence on the clocks cannot hold and are left out.");
-  if (!fleet.read_faults.empty())
-    out.push_back(std::to_string(fleet.read_faults.size()) + " places in the records could not be read.");
+  if (!fleet.read_errors.empty())
+    out.push_back(std::to_string(fleet.read_errors.size()) + " places in the records could not be read.");
 }
 
 FleetTimeline BuildFleetTimeline(const InstanceTimelines& timelines, const TimelineOptions& options) {
@@ -90,25 +90,27 @@
     for (const Incarnation::NotableRequest& request : incarnation.worst_requests) {
       const Micros at = merged.ReferenceTime(i, request.at);
       if (at >= fleet.from && at <= fleet.to)
-        fleet.worst_requests.push_back({incarnation.name, at, request.trace, &incarnation.book});
+        fleet.worst_requests.push_back({incarnation.name, at, request.trace, &incarnation.dictionary});
     }
   }
   std::stable_sort(fleet.worst_requests.begin(), fleet.worst_requests.end(),
                    [](const WorstRequest& a, const WorstRequest& b) {
                      const auto severity = [](const WorstRequest& line) {
-                       const auto ending = static_cast<record::Ending>(line.trace.verdict());
-                       const int kind =
-                           ending == record::Ending::kRefused                                        ? 1
-                           : ending == record::Ending::kLate || ending == record::Ending::kLateStale ? 0
-                                                                                                     : 2;
+                       const auto ending = static_cast<record::RequestOutcome>(line.trace.verdict());
+                       const int kind = ending == record::RequestOutcome::kRejected ? 1
+                                        : ending == record::RequestOutcome::kLate ||
+                                                ending == record::RequestOutcome::kLateStale
+                                            ? 0
+                                            : 2;
                        return std::pair(kind, line.trace.took_us());
                      };
                      return severity(a) > severity(b);
                    });
   if (fleet.worst_requests.size() > kMaxWorstRequests)
     fleet.worst_requests.erase(fleet.worst_requests.begin() + kMaxWorstRequests, fleet.worst_requests.end());
-  for (const record::Trouble& fault : timelines.ReadFaults()) {
-    fleet.read_faults.push_back(fault.file + ": offset " + std::to_string(fault.offset) + ": " + fault.what);
+  for (const record::ReadError& error : timelines.ReadErrors()) {
+    fleet.read_errors.push_back(error.file + ": offset " + std::to_string(error.offset) + ": " +
+                                error.message);
   }
   BuildSummary(fleet);
   return fleet;
--- a/src/timeline/fleet_timeline.hpp
+++ b/src/timeline/fleet_timeline.hpp
@@ -77,7 +77,7 @@
   std::string name;
   double requested_weight = 0, earned_weight = 0;     // sums of priority weights
   std::uint64_t received = 0, repeats = 0, lost = 0;  // lost: open when the instance died
-  std::array<std::uint64_t, record::kEndings> ended{};
+  std::array<std::uint64_t, record::kRequestOutcomeCount> ended{};
   double EarnedShare() const { return requested_weight > 0 ? earned_weight / requested_weight : 1; }
 };
 
@@ -147,7 +147,7 @@
   std::string instance;
   Micros at{0};
   wire::Trace trace;
-  const record::Book* book = nullptr;  // owned by the InstanceTimelines
+  const record::Dictionary* dictionary = nullptr;  // owned by the InstanceTimelines
 };
 
 // The whole timeline. Refers to the InstanceTimelines that it was built from.
@@ -171,7 +171,7 @@
   std::vector<PurgeOutcome> purges;
   std::vector<Incident> incidents;
   std::vector<WorstRequest> worst_requests;
-  std::vector<std::string> read_faults;  // places in the records that could not be read
+  std::vector<std::string> read_errors;  // places in the records that could not be read
   std::vector<std::string> sentences;    // the summary
 };
 
--- a/src/timeline/instance_timelines.cpp
+++ b/src/timeline/instance_timelines.cpp
@@ -15,13 +15,13 @@
 // Orders requests by how bad their ending was: broken, failed or overdue first, then refused, then the
 // others; within each, by duration.
 std::pair<int, std::uint32_t> Severity(const wire::Trace& trace) {
-  using record::Ending;
-  switch (static_cast<Ending>(trace.verdict())) {
-    case Ending::kBroken:
-    case Ending::kFailed:
-    case Ending::kOverdue:
+  using record::RequestOutcome;
+  switch (static_cast<RequestOutcome>(trace.verdict())) {
+    case RequestOutcome::kTruncated:
+    case RequestOutcome::kFailed:
+    case RequestOutcome::kDeadlineExceeded:
       return {2, trace.took_us()};
-    case Ending::kRefused:
+    case RequestOutcome::kRejected:
       return {1, trace.took_us()};
     default:
       return {0, trace.took_us()};
@@ -36,7 +36,8 @@
   if (sum == 0) return Micros{0};
   for (std::uint32_t bucket = 0; bucket < counts.size(); ++bucket) {
     passed += counts[bucket];
-    if (static_cast<double>(passed) >= share * static_cast<double>(sum)) return record::LatencyOf(bucket + 1);
+    if (static_cast<double>(passed) >= share * static_cast<double>(sum))
+      return record::LatencyBucketLowerEdge(bucket + 1);
   }
   return Micros{0};
 }
@@ -53,14 +54,14 @@
 }
 
 ServerKey InstanceTimelines::KeyOf(const Incarnation& incarnation, std::uint32_t number) {
-  const wire::Server* const server = incarnation.book.Server(number);
+  const wire::Server* const server = incarnation.dictionary.Server(number);
   return server == nullptr ? 0 : server->id();
 }
 
 void InstanceTimelines::OnRecord(const record::SegmentName& from, Micros, const wire::Record& record) {
   Incarnation& incarnation = incarnations_[{from.prefix, from.incarnation}];
-  incarnation.book.Note(record);
-  const wire::Header& header = incarnation.book.Header();
+  incarnation.dictionary.Apply(record);
+  const wire::Header& header = incarnation.dictionary.Header();
   if (incarnation.record_count++ == 0) {
     incarnation.name = header.name();
     incarnation.number = from.incarnation;
@@ -161,7 +162,7 @@
 }
 
 void InstanceTimelines::Apply(Incarnation& incarnation, Micros at, const wire::Window& window) {
-  const auto classes = static_cast<std::size_t>(std::max(incarnation.book.Header().classes_size(), 1));
+  const auto classes = static_cast<std::size_t>(std::max(incarnation.dictionary.Header().classes_size(), 1));
   // The window covers the time before `at`: its middle decides the second that it counts in.
   std::vector<ClassCounts>& class_counts =
       incarnation.counts_by_second[BucketIndex(at - Micros{window.length_us() / 2}, Micros{1'000'000})];
@@ -174,17 +175,18 @@
     if (window.repeats(i) < classes) class_counts[window.repeats(i)].repeats += window.repeats(i + 1);
   }
   for (int i = 0; i + 1 < window.ended_size(); i += 2) {
-    const record::Book::Key key = incarnation.book.Split(window.ended(i));
-    if (key.what < record::kEndings) class_counts[key.class_id].ended[key.what] += window.ended(i + 1);
+    const record::Dictionary::CountKey key = incarnation.dictionary.SplitCountKey(window.ended(i));
+    if (key.outcome < record::kRequestOutcomeCount)
+      class_counts[key.class_id].ended[key.outcome] += window.ended(i + 1);
     incarnation.open_requests -= static_cast<std::int64_t>(window.ended(i + 1));
   }
   const std::int64_t bucket = BucketIndex(at, kServerBucketWidth);
   for (int i = 0; i + 1 < window.attempts_size(); i += 2) {
-    const record::Book::Key key = incarnation.book.Split(window.attempts(i));
+    const record::Dictionary::CountKey key = incarnation.dictionary.SplitCountKey(window.attempts(i));
     ServerCounts& server_counts = incarnation.server_counts[KeyOf(incarnation, key.server)][bucket];
     const auto count = static_cast<std::uint32_t>(window.attempts(i + 1));
     server_counts.attempts += count;
-    switch (static_cast<Outcome>(key.what)) {
+    switch (static_cast<Outcome>(key.outcome)) {
       case Outcome::kServed:
       case Outcome::kMiss:
       case Outcome::kCancelled:
--- a/src/timeline/instance_timelines.hpp
+++ b/src/timeline/instance_timelines.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "record/book.hpp"
+#include "record/dictionary.hpp"
 #include "record/reader.hpp"
 
 namespace tinspan::timeline {
@@ -19,7 +19,7 @@
 struct ClassCounts {
   std::uint64_t received = 0;
   std::uint64_t repeats = 0;
-  std::array<std::uint64_t, record::kEndings> ended{};
+  std::array<std::uint64_t, record::kRequestOutcomeCount> ended{};
   std::uint64_t Ended() const;  // all endings together
   ClassCounts& operator+=(const ClassCounts& other);
 };
@@ -108,7 +108,7 @@
 
   std::string name;
   std::int64_t number = 0;  // Unix time of its start in microseconds
-  record::Book book;
+  record::Dictionary dictionary;
   Micros start_wall{0}, start_mono{0};  // from the first header
   Micros first_record_at{0}, last_record_at{0};
   bool has_stopped = false;                                 // its records contain its stop
@@ -135,17 +135,17 @@
 
 // Builds the timelines of all incarnations from their records. Records of one incarnation must arrive in
 // order; those of different incarnations may interleave in any way.
-class InstanceTimelines final : public record::Sink {
+class InstanceTimelines final : public record::RecordSink {
  public:
   void OnRecord(const record::SegmentName& from, Micros at, const wire::Record& record) override;
-  void OnTrouble(const record::Trouble& trouble) override { read_faults_.push_back(trouble); }
+  void OnReadError(const record::ReadError& error) override { read_errors_.push_back(error); }
 
   // By instance name as file names write it, and by incarnation number.
   const std::map<std::pair<std::string, std::int64_t>, Incarnation>& Incarnations() const {
     return incarnations_;
   }
   const std::map<ServerKey, ServerInfo>& Servers() const { return servers_; }
-  const std::vector<record::Trouble>& ReadFaults() const { return read_faults_; }
+  const std::vector<record::ReadError>& ReadErrors() const { return read_errors_; }
 
  private:
   void Apply(Incarnation& incarnation, Micros at, const wire::Window& window);
@@ -157,7 +157,7 @@
 
   std::map<std::pair<std::string, std::int64_t>, Incarnation> incarnations_;
   std::map<ServerKey, ServerInfo> servers_;
-  std::vector<record::Trouble> read_faults_;
+  std::vector<record::ReadError> read_errors_;
 };
 
 }  // namespace tinspan::timeline
--- a/src/timeline/merge.cpp
+++ b/src/timeline/merge.cpp
@@ -82,7 +82,7 @@
                                FleetTimeline& fleet) {
   MergedTimelines out;
   for (const auto& [key, incarnation] : timelines.Incarnations()) {
-    if (incarnation.record_count > 0 && incarnation.book.Header().format() > 0)
+    if (incarnation.record_count > 0 && incarnation.dictionary.Header().format() > 0)
       out.incarnations.push_back(&incarnation);
   }
   const std::vector<Evidence> evidence = GatherClockEvidence(out.incarnations, options);
@@ -101,7 +101,7 @@
     Instance instance;
     instance.name = incarnation.name;
     instance.incarnation = incarnation.number;
-    instance.version = incarnation.book.Header().version();
+    instance.version = incarnation.dictionary.Header().version();
     instance.is_reference = i == reference;
     instance.offset = offsets.Between(reference, i);
     instance.dropped_records = incarnation.dropped_records;
@@ -142,7 +142,7 @@
   }
   // Classes are matched by name: the configurations of instances may list them in different orders.
   for (const Incarnation* const incarnation : out.incarnations) {
-    for (const wire::Class& class_info : incarnation->book.Header().classes()) {
+    for (const wire::Class& class_info : incarnation->dictionary.Header().classes()) {
       if (std::find(out.class_names.begin(), out.class_names.end(), class_info.name()) !=
           out.class_names.end())
         continue;
--- a/src/timeline/service.cpp
+++ b/src/timeline/service.cpp
@@ -45,7 +45,7 @@
   }
   for (std::size_t i = 0; i < merged.incarnations.size(); ++i) {
     const Incarnation& incarnation = *merged.incarnations[i];
-    const auto& header = incarnation.book.Header();
+    const auto& header = incarnation.dictionary.Header();
     std::vector<std::size_t> class_indices;  // index in merged.class_names of each class in the header
     for (const wire::Class& class_info : header.classes()) {
       class_indices.push_back(static_cast<std::size_t>(
@@ -66,20 +66,23 @@
         ServicePoint& current = point(at);
         tally.received += counts.received;
         tally.repeats += counts.repeats;
-        for (std::uint32_t e = 0; e < record::kEndings; ++e) {
-          const auto ending = static_cast<record::Ending>(e);
+        for (std::uint32_t e = 0; e < record::kRequestOutcomeCount; ++e) {
+          const auto ending = static_cast<record::RequestOutcome>(e);
           const double count = static_cast<double>(counts.ended[e]);
-          const double earned_weight = count * class_info.worth() * record::Earned(ending, class_info);
+          const double earned_weight = count * class_info.worth() * record::EarnedShare(ending, class_info);
           // The client disconnected, so the request no longer counts as requested.
-          const double requested_weight = ending == record::Ending::kLeft ? 0 : count * class_info.worth();
+          const double requested_weight =
+              ending == record::RequestOutcome::kClientDisconnected ? 0 : count * class_info.worth();
           tally.ended[e] += counts.ended[e];
           tally.requested_weight += requested_weight;
           tally.earned_weight += earned_weight;
           current.requested_weight[class_indices[c]] += requested_weight;
           current.earned_weight[class_indices[c]] += earned_weight;
-          if (ending == record::Ending::kRefused) current.refused[class_indices[c]] += counts.ended[e];
-          if (e >= static_cast<std::uint32_t>(record::Ending::kBroken) && ending != record::Ending::kLeft &&
-              ending != record::Ending::kRefused) {
+          if (ending == record::RequestOutcome::kRejected)
+            current.refused[class_indices[c]] += counts.ended[e];
+          if (e >= static_cast<std::uint32_t>(record::RequestOutcome::kTruncated) &&
+              ending != record::RequestOutcome::kClientDisconnected &&
+              ending != record::RequestOutcome::kRejected) {
             current.failed[class_indices[c]] += counts.ended[e];
           }
         }
@@ -139,7 +142,7 @@
       if (!is_in_range(at)) continue;
       for (const auto& [class_id, counts] : by_class) {
         const auto class_index = std::find(merged.class_names.begin(), merged.class_names.end(),
-                                           incarnation.book.ClassName(class_id));
+                                           incarnation.dictionary.ClassName(class_id));
         auto& sum = latency[{at / kLatencyBucketWidth,
                              static_cast<std::uint32_t>(class_index - merged.class_names.begin())}];
         for (std::size_t b = 0; b < counts.size(); ++b) sum[b] += counts[b];
--- a/tests/fuzz/reader_fuzz.cpp
+++ b/tests/fuzz/reader_fuzz.cpp
@@ -35,21 +35,21 @@
     }
   }
   record::SegmentReader reader("fuzz");
-  record::Book book;
+  record::Dictionary dictionary;
   timeline::InstanceTimelines timelines;
   const record::SegmentName name{"fuzz", "fuzz", 1, 1};
   const auto read_available = [&](bool is_at_end) {
     while (true) {
       const auto state = is_at_end ? reader.End() : reader.Next();
       if (state == record::SegmentReader::State::kMore) return;
-      if (state == record::SegmentReader::State::kTrouble) {
-        timelines.OnTrouble(reader.Problem());
+      if (state == record::SegmentReader::State::kError) {
+        timelines.OnReadError(reader.Error());
         continue;
       }
-      book.Note(reader.Record());
-      record::ToJson(book, reader.At(), reader.Record())
+      dictionary.Apply(reader.Record());
+      record::ToJson(dictionary, reader.Time(), reader.Record())
           .dump(-1, ' ', false, nlohmann::ordered_json::error_handler_t::replace);
-      timelines.OnRecord(name, reader.At(), reader.Record());
+      timelines.OnRecord(name, reader.Time(), reader.Record());
     }
   };
   for (std::size_t offset = 0; offset < file.size(); offset += 97) {
--- a/tests/record_test.cpp
+++ b/tests/record_test.cpp
@@ -12,7 +12,7 @@
 #include <thread>
 
 #include "net/clock.hpp"
-#include "record/book.hpp"
+#include "record/dictionary.hpp"
 #include "record/folder.hpp"
 #include "record/frame.hpp"
 #include "record/json.hpp"
@@ -148,10 +148,10 @@
 TEST(Latency, BucketsAreAnEighthOfADoublingWide) {
   for (std::int64_t micros = 1; micros < 100'000'000; micros = micros * 9 / 8 + 1) {
     const std::uint32_t bucket = LatencyBucket(Micros{micros});
-    EXPECT_LE(LatencyOf(bucket).count(), micros);
-    EXPECT_LT(micros, LatencyOf(bucket + 1).count() + 1);
+    EXPECT_LE(LatencyBucketLowerEdge(bucket).count(), micros);
+    EXPECT_LT(micros, LatencyBucketLowerEdge(bucket + 1).count() + 1);
     if (bucket > 0) {
-      EXPECT_LT(LatencyOf(bucket + 1).count(), LatencyOf(bucket).count() * 1.1 + 2);
+      EXPECT_LT(LatencyBucketLowerEdge(bucket + 1).count(), LatencyBucketLowerEdge(bucket).count() * 1.1 + 2);
     }
   }
 }
@@ -290,12 +290,12 @@
     if (Chance(15)) out.push_back(core::PurgeReceived{mono_, GroupId{random_() % 4}, std::nullopt});
     if (Chance(9) && !arrived_.empty()) {
       const RequestId id = arrived_.begin()->first;
-      if (!answered_.contains(id)) CountVerdict(id, Ending::kLeft);
+      if (!answered_.contains(id)) CountVerdict(id, RequestOutcome::kClientDisconnected);
       out.push_back(core::ClientDisconnected{id});
     }
     return out;
   }
-  void CountVerdict(RequestId id, Ending ending) {
+  void CountVerdict(RequestId id, RequestOutcome ending) {
     answered_.insert(id);
     ++verdicts[{arrived_.at(id).second, static_cast<std::uint32_t>(ending)}];
     arrived_.erase(id);
@@ -318,14 +318,14 @@
         const bool is_late = mono_ - arrived_.at(completion->id).first > Micros{300'000};
         const bool is_stale = is_stale_[completion->id];
         using core::CompletionStatus;
-        RandomRun::CountVerdict(completion->id,
-                                completion->status == CompletionStatus::kServed
-                                    ? (is_late ? (is_stale ? Ending::kLateStale : Ending::kLate)
-                                               : (is_stale ? Ending::kStale : Ending::kInTime))
-                                : completion->status == CompletionStatus::kTruncated ? Ending::kBroken
-                                : completion->deadline_exceeded                      ? Ending::kOverdue
-                                : completion->status == CompletionStatus::kRejected  ? Ending::kRefused
-                                                                                     : Ending::kFailed);
+        RandomRun::CountVerdict(
+            completion->id, completion->status == CompletionStatus::kServed
+                                ? (is_late ? (is_stale ? RequestOutcome::kLateStale : RequestOutcome::kLate)
+                                           : (is_stale ? RequestOutcome::kStale : RequestOutcome::kInTime))
+                            : completion->status == CompletionStatus::kTruncated ? RequestOutcome::kTruncated
+                            : completion->deadline_exceeded ? RequestOutcome::kDeadlineExceeded
+                            : completion->status == CompletionStatus::kRejected ? RequestOutcome::kRejected
+                                                                                : RequestOutcome::kFailed);
       }
     }
     for (const core::Event& event : events) {
@@ -358,8 +358,10 @@
   RC_ASSERT(run.recorded_attempts == run.started_attempts);
   std::uint64_t faults = 0;
   for (const auto& [key, count] : run.verdicts) {
-    const auto ending = static_cast<Ending>(key.second);
-    if (ending != Ending::kInTime && ending != Ending::kStale && ending != Ending::kLeft) faults += count;
+    const auto ending = static_cast<RequestOutcome>(key.second);
+    if (ending != RequestOutcome::kInTime && ending != RequestOutcome::kStale &&
+        ending != RequestOutcome::kClientDisconnected)
+      faults += count;
   }
   RC_ASSERT(run.fault_traces == faults);  // each request with a fault is traced
   RC_ASSERT(run.traces > faults);
@@ -388,14 +390,14 @@
 };
 
 // Keeps everything that is read.
-class Collected final : public Sink {
+class Collected final : public RecordSink {
  public:
   void OnRecord(const SegmentName&, Micros, const wire::Record& record) override {
     records.push_back(record);
   }
-  void OnTrouble(const Trouble& trouble) override { troubles.push_back(trouble); }
+  void OnReadError(const ReadError& error) override { read_errors.push_back(error); }
   std::vector<wire::Record> records;
-  std::vector<Trouble> troubles;
+  std::vector<ReadError> read_errors;
   // How many router lines were read.
   std::size_t Lines() const {
     return static_cast<std::size_t>(std::count_if(records.begin(), records.end(), [](auto& one) {
@@ -442,7 +444,7 @@
   reader.Poll(got);
   reader.Finish(got);
   EXPECT_EQ(got.Lines(), 20u);
-  EXPECT_TRUE(got.troubles.empty());
+  EXPECT_TRUE(got.read_errors.empty());
   EXPECT_EQ(got.records.front().header().name(), "north");
   EXPECT_EQ(got.records.back().life().what(), wire::Life::STOPPED);
 }
@@ -463,7 +465,7 @@
   Collected got;
   FolderReader reader({folder.path});
   reader.Poll(got);
-  EXPECT_TRUE(got.troubles.empty());
+  EXPECT_TRUE(got.read_errors.empty());
 }
 
 TEST(Recorders, AMissingSegmentIsReported) {
@@ -483,9 +485,9 @@
   FolderReader reader({folder.path});
   reader.Poll(got);
   reader.Finish(got);
-  ASSERT_EQ(got.troubles.size(), 1u);
-  EXPECT_EQ(got.troubles[0].file, files[3].string());
-  EXPECT_NE(got.troubles[0].what.find("1 segments are missing before this one, from number 3 on"),
+  ASSERT_EQ(got.read_errors.size(), 1u);
+  EXPECT_EQ(got.read_errors[0].file, files[3].string());
+  EXPECT_NE(got.read_errors[0].message.find("1 segments are missing before this one, from number 3 on"),
             std::string::npos);
 }
 
@@ -541,8 +543,8 @@
   FolderReader reader({folder.path});
   reader.Poll(got);
   reader.Finish(got);
-  EXPECT_GT(got.Lines(), 20u);         // the records before the limit are readable
-  EXPECT_EQ(got.troubles.size(), 1u);  // and the incomplete last one is reported
+  EXPECT_GT(got.Lines(), 20u);            // the records before the limit are readable
+  EXPECT_EQ(got.read_errors.size(), 1u);  // and the incomplete last one is reported
   EXPECT_THROW(Recorder(
                    MakeSettings(),
                    [&] {
@@ -571,7 +573,7 @@
   Collected got;
   FolderReader reader({folder.path});
   while (got.records.empty() || got.records.back().life().what() != wire::Life::SIGNALLED) reader.Poll(got);
-  EXPECT_TRUE(got.troubles.empty());
+  EXPECT_TRUE(got.read_errors.empty());
   EXPECT_GT(got.records.size(), 10'000u);
 }
 
@@ -588,21 +590,21 @@
                                "\x0f\x0f", plain.SerializeAsString()});
   SegmentReader reader("f");
   reader.Feed(bytes);
-  std::vector<std::string> troubles;
+  std::vector<std::string> read_errors;
   int records = 0;
   for (auto state = reader.End(); state != SegmentReader::State::kMore; state = reader.End()) {
-    state == SegmentReader::State::kTrouble ? troubles.push_back(reader.Problem().what)
-                                            : static_cast<void>(++records);
+    state == SegmentReader::State::kError ? read_errors.push_back(reader.Error().message)
+                                          : static_cast<void>(++records);
   }
-  ASSERT_EQ(troubles.size(), 4u);
-  EXPECT_NE(troubles[0].find("before any header"), std::string::npos);
-  EXPECT_NE(troubles[1].find("format 2, newer than 1"), std::string::npos);
-  EXPECT_NE(troubles[2].find("kind that is not known"), std::string::npos);
-  EXPECT_NE(troubles[3].find("cannot be read"), std::string::npos);
+  ASSERT_EQ(read_errors.size(), 4u);
+  EXPECT_NE(read_errors[0].find("before any header"), std::string::npos);
+  EXPECT_NE(read_errors[1].find("format 2, newer than 1"), std::string::npos);
+  EXPECT_NE(read_errors[2].find("kind that is not known"), std::string::npos);
+  EXPECT_NE(read_errors[3].find("cannot be read"), std::string::npos);
   EXPECT_EQ(records, 1);
   SegmentReader foreign("g");
   foreign.Feed("PNG and so on, long enough to be sure");
-  EXPECT_EQ(foreign.End(), SegmentReader::State::kTrouble);
+  EXPECT_EQ(foreign.End(), SegmentReader::State::kError);
   EXPECT_EQ(foreign.End(), SegmentReader::State::kMore);
 }
 
--- a/tests/timeline_test.cpp
+++ b/tests/timeline_test.cpp
@@ -124,7 +124,8 @@
     Add(at, record);
   }
   // `count` requests each of class 0 and class 1 that all had the same ending.
-  void Window(Micros at, std::uint32_t count, record::Ending ending, std::uint32_t extra_received = 0) {
+  void Window(Micros at, std::uint32_t count, record::RequestOutcome ending,
+              std::uint32_t extra_received = 0) {
     wire::Record record;
     wire::Window& window = *record.mutable_window();
     window.set_length_us(100'000);
@@ -282,10 +283,11 @@
 TEST(FleetTimelineTest, MissingStopIsReportedAsDeathAndAsCause) {
   Writer a("a", Micros{0}), b("b", Micros{0}), again("b", Micros{0}, 20 * kSecond, 1);
   for (int i = 1; i < 40; ++i) {
-    a.Window(i * kSecond, 10, i == 12 || i == 13 ? record::Ending::kFailed : record::Ending::kInTime);
+    a.Window(i * kSecond, 10,
+             i == 12 || i == 13 ? record::RequestOutcome::kFailed : record::RequestOutcome::kInTime);
     a.Beat(i * kSecond);
     if (i > 12) continue;
-    b.Window(i * kSecond - 500 * kMilli, 10, record::Ending::kInTime, i == 12 ? 4 : 0);
+    b.Window(i * kSecond - 500 * kMilli, 10, record::RequestOutcome::kInTime, i == 12 ? 4 : 0);
     b.Beat(i * kSecond - 500 * kMilli);
   }
   a.Stop(40 * kSecond);
@@ -337,7 +339,7 @@
 
 TEST(FleetTimelineTest, OnlyTheRequestedRangeIsReported) {
   Writer a("a", Micros{0});
-  for (int i = 1; i < 40; ++i) a.Window(i * kSecond, 10, record::Ending::kInTime);
+  for (int i = 1; i < 40; ++i) a.Window(i * kSecond, 10, record::RequestOutcome::kInTime);
   a.Stop(40 * kSecond);
   InstanceTimelines timelines;
   Feed(timelines, {&a}, 1);
