--- a/include/tinspan/router.hpp
+++ b/include/tinspan/router.hpp
@@ -6,8 +6,8 @@
 // - The caller passes the current time with every event, in microseconds since any fixed origin. A time that
 //   lies before that of an earlier event is replaced by the latest time seen.
 // - Actions are appended to a vector that the caller passes and owns.
-// - The constructor and Retune throw std::invalid_argument on invalid settings. Other calls throw nothing
-//   except std::bad_alloc.
+// - The constructor and UpdateSettings throw std::invalid_argument on invalid settings. Other calls throw
+//   nothing except std::bad_alloc.
 // - Events that match no state (an outcome of an attempt that was never sent, a request with an id that is
 //   already open) are ignored.
 #pragma once
@@ -31,7 +31,7 @@
 enum class ServerId : std::uint64_t {};   // a cache, parent or origin; the same at all instances
 enum class ObjectId : std::uint64_t {};   // 0: no object
 enum class ClassId : std::uint32_t {};    // index in Settings::classes
-enum class ZoneId : std::uint32_t {};     // a location, or a hub
+enum class ZoneId : std::uint32_t {};     // a location, or a parent zone
 enum class KindId : std::uint32_t {};     // a kind of server: cache, parent or origin
 enum class GroupId : std::uint64_t {};    // a group of objects that can be purged together
 
@@ -93,7 +93,7 @@
   std::uint32_t zone_count = 0;                     // number of zones that an endpoint can be in
   std::uint32_t kind_count = 0;                     // number of kinds of server
   ZoneId zone{0};                                   // zone of this instance
-  std::vector<std::uint32_t> zone_hubs;             // by zone: its hub; the hubs form a ring
+  std::vector<std::uint32_t> zone_parent_zones;     // by zone: its parent zone; the parent zones form a ring
   std::vector<std::uint32_t> zone_instance_counts;  // by zone: number of instances that serve it
   std::vector<double> zone_link_kb_per_s;           // by zone: rate of its ingress link; 0: unknown
   std::uint32_t instance_count = 0;                 // in all zones
@@ -112,7 +112,7 @@
   double transfer_rate_kb_per_s = 0;  // rate of one transfer to a client; 0: unknown
   std::uint32_t max_attempts = 0;     // per request
   Micros max_retry_after{0};          // longest Retry-After that clients respect
-  Micros answer_grace{0};             // how long after its deadline a final response still counts
+  Micros response_grace{0};           // how long after its deadline a final response still counts
   Micros event_interval{0};           // minimum time between two batches of events
   Micros connect_timeout{0};
   Micros drain_window{0};             // time within which a draining server must no longer be used
@@ -298,7 +298,7 @@
 
   // Replaces the settings. Existing entries of Settings::classes must stay as they are: classes that are
   // added or changed are appended. Open requests keep their class and their maximum number of attempts.
-  void Retune(const Settings& settings);
+  void UpdateSettings(const Settings& settings);
 
   // Processes an event and appends the resulting actions to `out`.
   void Handle(Micros now, const EndpointsEvent& event, Actions& out);
@@ -312,7 +312,7 @@
  private:
   class Engine;
   template <class Event>
-  void Pass(Micros now, const Event& event, Actions& out);
+  void Forward(Micros now, const Event& event, Actions& out);
 
   std::unique_ptr<Engine> engine_;
 };
--- a/src/cli/records.cpp
+++ b/src/cli/records.cpp
@@ -127,7 +127,7 @@
 std::optional<Micros> TimeOption(const Values& values, const char* option) {
   const std::string text = TextOf(values, option);
   if (text.empty()) return std::nullopt;
-  const auto time = ReadTime(text);
+  const auto time = ParseTime(text);
   if (!time) {
     throw Usage{std::string("option '--") + option +
                 "': expected a time such as 2026-12-01T14:03:00Z or @1764597780.5, not '" + text + "'"};
@@ -150,9 +150,9 @@
   Summary summary;
   const std::uint64_t bytes = ReadRecords(arguments, summary);
   for (const auto& [key, totals] : summary.incarnations) {
-    std::cout << totals.dictionary.Header().name() << "  started " << TimeText(Micros{key.second})
-              << "  records " << TimeText(totals.from.value_or(Micros{0})) << " to "
-              << TimeText(totals.to.value_or(Micros{0})) << "  " << totals.segments.size() << " segments  "
+    std::cout << totals.dictionary.Header().name() << "  started " << FormatTime(Micros{key.second})
+              << "  records " << FormatTime(totals.from.value_or(Micros{0})) << " to "
+              << FormatTime(totals.to.value_or(Micros{0})) << "  " << totals.segments.size() << " segments  "
               << totals.requests << " requests  " << totals.traces << " traces  " << totals.end;
     if (totals.dropped_records > 0) std::cout << "  " << totals.dropped_records << " records dropped";
     std::cout << "\n";
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -74,7 +74,7 @@
   }
 }
 
-// Flattens nested JSON into the paths and values that the simulator's first message has, so that ReadSite
+// Flattens nested JSON into the paths and values that the simulator's first message has, so that ReadSettings
 // reads both.
 class FlattenedSettings {
  public:
@@ -115,12 +115,12 @@
   SettingsMap map_;
 };
 
-void ReadSettings(const element& settings, CommonConfig& out) {
+void ReadSettingsSection(const element& settings, CommonConfig& out) {
   FlattenedSettings flattened;
   flattened.Add("", settings);
   const SettingsMap& map = flattened.Map();
   try {
-    out.site = ReadSite(map);
+    out.site = ReadSettings(map);
     const auto millis = [&](const char* path, Micros fallback) {
       const Micros value = map.Millis(path);
       return value > Micros{0} ? value : fallback;
@@ -202,11 +202,12 @@
       ThrowExpected(path + ".path", "a path from '/', not under '/-/'");
     }
     try {
-      target.access = Choose<Carrier>(TextOr(route, "access", path + ".access", "either"), path + ".access",
-                                      {{"open", Carrier::kOpen},
-                                       {"link", Carrier::kLink},
-                                       {"token", Carrier::kToken},
-                                       {"either", Carrier::kEither}});
+      target.access =
+          ParseEnum<Carrier>(TextOr(route, "access", path + ".access", "either"), path + ".access",
+                             {{"open", Carrier::kOpen},
+                              {"link", Carrier::kLink},
+                              {"token", Carrier::kToken},
+                              {"either", Carrier::kEither}});
     } catch (const Malformed& malformed) {
       ThrowExpected(malformed.field, malformed.expected);
     }
@@ -444,7 +445,7 @@
     out.listen = Address(text("listen"), "listen");
     out.seed = static_cast<std::uint64_t>(std::random_device{}()) << 32 | std::random_device{}();
     ReadLimits(root, out.limits);
-    ReadSettings(Require(root, "settings", "settings"), out);
+    ReadSettingsSection(Require(root, "settings", "settings"), out);
     // The gateway forwards a response while it arrives, so a response that has started has no deadline.
     // is_streamed tells the module so.
     for (ClassSettings& item : out.site.settings.classes) item.is_streamed = true;
@@ -552,7 +553,7 @@
   out.known_seq = Unsigned(Require(known, "seq", "known.seq"), "known.seq");
   for (const element item : List(Require(known, "results", "known.results"), "known.results"))
     out.known.push_back(simdjson::minify(item));
-  ReadSettings(Require(root, "settings", "settings"), out);
+  ReadSettingsSection(Require(root, "settings", "settings"), out);
   if (const char* const ops_address = std::getenv("PROXY_OPS");
       ops_address != nullptr && *ops_address != '\0') {
     out.ops = Address(ops_address, "PROXY_OPS");
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -75,7 +75,7 @@
   net::Endpoint listen;
   std::uint64_t seed = 0;
   Limits limits;
-  Site site;
+  NamedSettings site;
   Micros connect_timeout{400'000};
   Micros idle_close{30'000'000};
   std::size_t exchanges = 100;    // concurrent, on one connection to a server
--- a/src/console/screen.cpp
+++ b/src/console/screen.cpp
@@ -247,7 +247,7 @@
   std::vector<std::pair<Micros, Line>> all;
   const auto add = [&](Micros when, std::string text, Style style) {
     if (when <= at && text.find(view.filter) != std::string::npos) {
-      all.emplace_back(when, Line{"       " + TimeText(when).substr(11, 8) + " " + std::move(text), style});
+      all.emplace_back(when, Line{"       " + FormatTime(when).substr(11, 8) + " " + std::move(text), style});
     }
   };
   const auto server_name = [&](ServerKey key) {
@@ -392,7 +392,7 @@
   const Micros at = view.held_at.value_or(now);
   const int name_width = NameWidth(width);
   std::vector<Line> out;
-  out.push_back({"tinspan console  " + TimeText(at).substr(0, 19) + "Z" +
+  out.push_back({"tinspan console  " + FormatTime(at).substr(0, 19) + "Z" +
                      (view.held_at ? "  HELD, " + FormatAge(now - at) + " ago" : "  live") + "  " +
                      std::to_string(timelines.Incarnations().size()) + " lives" +
                      (timelines.ReadErrors().empty()
--- a/src/core/request_coordinator.cpp
+++ b/src/core/request_coordinator.cpp
@@ -64,9 +64,9 @@
 
 void RequestCoordinator::EndDrain() { drain_.reset(); }
 
-void RequestCoordinator::Retune(const Settings& settings) {
+void RequestCoordinator::UpdateSettings(const Settings& settings) {
   settings_ = settings;
-  router_.Retune(settings);
+  router_.UpdateSettings(settings);
 }
 
 // ---- Events. ----
--- a/src/core/request_coordinator.hpp
+++ b/src/core/request_coordinator.hpp
@@ -48,9 +48,9 @@
   void EndDrain();
   /// The timetable of the current drain, if any.
   const std::optional<DrainTimetable>& Drain() const { return drain_; }
-  /// Replaces the settings (made by setup::Retuned) for requests that arrive from now on. Open requests keep
-  /// their deadlines and attempt limits.
-  void Retune(const Settings& settings);
+  /// Replaces the settings (made by MergeReloadedSettings) for requests that arrive from now on. Open
+  /// requests keep their deadlines and attempt limits.
+  void UpdateSettings(const Settings& settings);
   /// Handles the events received since the last call, then the tasks due at `now`. Appends commands to `out`.
   void Handle(Micros now, std::span<const Event> events, Commands& out);
   /// Whether an attempt that waited, for example for a connection, may still be sent. A front must ask
--- a/src/drill/drill.cpp
+++ b/src/drill/drill.cpp
@@ -63,20 +63,20 @@
 
 struct Instance {
   std::unique_ptr<Router> router;  // null before power_on and after halt
-  Site site;
+  NamedSettings site;
 };
 
 Outcome ReadOutcome(std::string_view text) {
-  return Choose<Outcome>(text, "disposition",
-                         {{"pass", Outcome::kServed},
-                          {"fault", Outcome::kError},
-                          {"no_room", Outcome::kRejected},
-                          {"too_slow", Outcome::kTimedOut},
-                          {"no_route", Outcome::kConnectFailed},
-                          {"cut", Outcome::kReset},
-                          {"undone", Outcome::kCancelled},
-                          {"stale_send", Outcome::kNotSent},
-                          {"none_here", Outcome::kMiss}});
+  return ParseEnum<Outcome>(text, "disposition",
+                            {{"pass", Outcome::kServed},
+                             {"fault", Outcome::kError},
+                             {"no_room", Outcome::kRejected},
+                             {"too_slow", Outcome::kTimedOut},
+                             {"no_route", Outcome::kConnectFailed},
+                             {"cut", Outcome::kReset},
+                             {"undone", Outcome::kCancelled},
+                             {"stale_send", Outcome::kNotSent},
+                             {"none_here", Outcome::kMiss}});
 }
 
 class Adapter {
@@ -171,7 +171,7 @@
       EndpointRow row;
       row.endpoint.id = RegisterAddress(line_.Text(1, "cache"));
       row.endpoint.weight = line_.Has(2) ? line_.Get<double>(2, "nominal") : 0.0;
-      row.endpoint.availability = Choose<Availability>(
+      row.endpoint.availability = ParseEnum<Availability>(
           line_.Text(3, "availability"), "availability",
           {{"on", Availability::kUp}, {"fading", Availability::kDraining}, {"off", Availability::kRemoved}});
       row.endpoint.cell = line_.GetOrZero<std::uint32_t>(4, "pod");
@@ -202,7 +202,7 @@
       if (equals_sign == std::string_view::npos) throw Malformed{"setup", "path=value"};
       settings.Add(pair.substr(0, equals_sign), pair.substr(equals_sign + 1));
     }
-    instance_->site = ReadSite(settings);
+    instance_->site = ReadSettings(settings);
     CallModule([&] {
       instance_->router = std::make_unique<Router>(instance_->site.settings, seed, now_, actions_);
     });
@@ -211,11 +211,11 @@
   void RosterChange() {
     using Kind = EndpointsEvent::Kind;
     EndpointsEvent event;
-    event.kind = Choose<Kind>(line_.Text(1, "how"), "how",
-                              {{"patch", Kind::kDelta},
-                               {"whole", Kind::kFull},
-                               {"stale_copy", Kind::kStale},
-                               {"broken", Kind::kWatchBroken}});
+    event.kind = ParseEnum<Kind>(line_.Text(1, "how"), "how",
+                                 {{"patch", Kind::kDelta},
+                                  {"whole", Kind::kFull},
+                                  {"stale_copy", Kind::kStale},
+                                  {"broken", Kind::kWatchBroken}});
     line_.ExpectAtMost(4);
     if (event.kind != Kind::kWatchBroken) {
       const auto number = line_.Get<std::uint32_t>(2, "setId");
@@ -237,8 +237,8 @@
     list.endpoints.clear();
     for (const EndpointRow& row : list.rows) {
       EndpointInfo endpoint = row.endpoint;
-      endpoint.kind = KindId{PlaceOf(list.kinds, row.kind, "machine")};
-      endpoint.zone = ZoneId{PlaceOf(list.zones, row.zone, "area")};
+      endpoint.kind = KindId{IndexOf(list.kinds, row.kind, "machine")};
+      endpoint.zone = ZoneId{IndexOf(list.zones, row.zone, "area")};
       list.endpoints.push_back(endpoint);
     }
     return list.endpoints;
@@ -249,7 +249,7 @@
     event.id = ReadId();
     event.time_left = line_.Millis(2, "ttlMs");
     event.is_retry = (line_.GetOrZero<std::uint32_t>(3, "marks") & 2u) != 0;
-    event.class_id = ClassId{PlaceOf(instance_->site.classes, line_.Text(4, "tierClass"), "tierClass")};
+    event.class_id = ClassId{IndexOf(instance_->site.classes, line_.Text(4, "tierClass"), "tierClass")};
     event.group = GroupId{line_.GetOrZero<std::uint64_t>(5, "labelNo")};
     event.size_kb = line_.GetOrZero<double>(6, "volumeKb");
     event.part = line_.GetOrZero<std::uint32_t>(7, "rangeNo");
@@ -273,7 +273,7 @@
     }
     event.note = static_cast<FillNote>(note);  // FillNote lists the notes in the order of the wire format
     if (line_.Has(8)) event.fill_wait = line_.Millis(8, "waitedMs");
-    if (line_.Has(9)) event.load = ReadLoad(line_.Text(9, "stats"), ',');
+    if (line_.Has(9)) event.load = ParseLoadReport(line_.Text(9, "stats"), ',');
     line_.ExpectAtMost(10);
     return event;
   }
--- a/src/front/http/consul.cpp
+++ b/src/front/http/consul.cpp
@@ -119,7 +119,7 @@
     }
     node.info.id = HashName(node.name);
     node.info.zone = ZoneId{static_cast<std::uint32_t>(zone_position - zones.begin())};
-    node.info.kind = KindId{PlaceOf(config_.site.kinds, service_.kind, "kind")};
+    node.info.kind = KindId{IndexOf(config_.site.kinds, service_.kind, "kind")};
     std::uint64_t weight = 0;
     if (entry.at_pointer("/ServiceWeights/Passing").get(weight) == simdjson::SUCCESS && weight > 0) {
       node.info.weight = static_cast<double>(weight);
--- a/src/front/platform/cache_protocol.cpp
+++ b/src/front/platform/cache_protocol.cpp
@@ -158,7 +158,7 @@
       });
   if (fields_status == FieldListStatus::kMalformed) return tl::unexpected(ResponseError::kMalformedFields);
   try {
-    response.load = ReadLoad(load_report, ';');
+    response.load = ParseLoadReport(load_report, ';');
   } catch (const tinspan::Malformed&) {
     return tl::unexpected(ResponseError::kMalformedLoadReport);
   }
--- a/src/front/platform/client_protocol.cpp
+++ b/src/front/platform/client_protocol.cpp
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "front/platform/fields.hpp"
-#include "setup/retune.hpp"
+#include "setup/reload.hpp"
 
 namespace tinspan::platform {
 namespace {
--- a/src/front/platform/downstream_connections.hpp
+++ b/src/front/platform/downstream_connections.hpp
@@ -47,7 +47,7 @@
   void StartDrain(const core::DrainTimetable& timetable) { drain_ = timetable; }
   /// Stops closing client connections for a drain.
   void EndDrain() { drain_.reset(); }
-  /// Replaces the class names after a reload (Retune). A name's last position is its ClassId.
+  /// Replaces the class names after a reload (MergeReloadedSettings). A name's last position is its ClassId.
   void SetClasses(Names classes) { classes_ = std::move(classes); }
   /// Whether no client connection is left and no new one is accepted.
   bool IsDrained() const { return clients_.empty() && !listener_.IsOpen(); }
--- a/src/front/platform/platform_front.cpp
+++ b/src/front/platform/platform_front.cpp
@@ -154,10 +154,10 @@
 bool PlatformFront::Reload() {
   try {
     const config::Platform config = config::ReadPlatform();
-    Retuned retuned = Retune(site_, config.site);
-    const std::vector<std::string> added = retuned.added;
-    const std::vector<std::string> dropped = retuned.dropped;
-    if (retuned.changed) ApplySettings(std::move(retuned));
+    ReloadResult reloaded = MergeReloadedSettings(site_, config.site);
+    const std::vector<std::string> added = reloaded.added;
+    const std::vector<std::string> dropped = reloaded.dropped;
+    if (reloaded.changed) ApplySettings(std::move(reloaded));
     endpoint_watcher_.Follow(config.changelog);
     longest_deadline_ = std::min(longest_deadline_, config.longest);
     ++counters_.config_reloads;
@@ -171,10 +171,10 @@
   }
 }
 
-void PlatformFront::ApplySettings(Retuned retuned) {
-  coordinator_.Retune(retuned.site.settings);
-  downstream_.SetClasses(retuned.site.classes);
-  site_ = std::move(retuned.site);
+void PlatformFront::ApplySettings(ReloadResult reloaded) {
+  coordinator_.UpdateSettings(reloaded.site.settings);
+  downstream_.SetClasses(reloaded.site.classes);
+  site_ = std::move(reloaded.site);
 }
 
 void PlatformFront::LogReload(const std::vector<std::string>& added,
--- a/src/front/platform/platform_front.hpp
+++ b/src/front/platform/platform_front.hpp
@@ -14,7 +14,7 @@
 #include "front/platform/upstream_connections.hpp"
 #include "front/runner.hpp"
 #include "ops/ops.hpp"
-#include "setup/retune.hpp"
+#include "setup/reload.hpp"
 
 namespace tinspan::platform {
 
@@ -46,7 +46,7 @@
   ops::Statistics Statistics() const;
   void Complete(const core::CompleteRequest& command);
   void Respond(RequestId id);
-  void ApplySettings(Retuned retuned);
+  void ApplySettings(ReloadResult reloaded);
   void ApplyServiceState(Micros now);
   void AddStats(ops::Statistics& figures) const;
   void LogReload(const std::vector<std::string>& added, const std::vector<std::string>& dropped) const;
@@ -54,7 +54,7 @@
   const std::size_t max_downstream_backlog_;
   net::EventLoop& loop_;
   core::RequestCoordinator& coordinator_;
-  Site site_;                // in force; includes the classes of all configurations read so far
+  NamedSettings site_;       // in force; includes the classes of all configurations read so far
   Micros longest_deadline_;  // the smallest value of all configurations read so far
   DownstreamConnections downstream_;
   UpstreamConnections upstream_;
--- a/src/front/platform/watch_event.cpp
+++ b/src/front/platform/watch_event.cpp
@@ -31,28 +31,28 @@
 }
 
 Availability ParseAvailability(std::string_view state) {
-  return Choose<Availability>(state, "state",
-                              {{"up", Availability::kUp},
-                               {"draining", Availability::kDraining},
-                               {"removed", Availability::kRemoved}});
+  return ParseEnum<Availability>(state, "state",
+                                 {{"up", Availability::kUp},
+                                  {"draining", Availability::kDraining},
+                                  {"removed", Availability::kRemoved}});
 }
 
 // The id is a hash of the name, not of the address, since a new server may reuse the address of a removed
 // one.
-EndpointInfo ParseEndpointInfo(const element& server, std::string_view name, const Site& site) {
+EndpointInfo ParseEndpointInfo(const element& server, std::string_view name, const NamedSettings& site) {
   EndpointInfo info;
   info.id = HashName(name);
   info.weight = GetOr(server, "weight", 0.0);
   info.cell = static_cast<std::uint32_t>(GetOr<std::uint64_t>(server, "cell", 0));
-  info.kind = KindId{PlaceOf(site.kinds, Get<std::string_view>(server, "kind"), "kind")};
-  info.zone = ZoneId{PlaceOf(site.zones, Get<std::string_view>(server, "zone"), "zone")};
+  info.kind = KindId{IndexOf(site.kinds, Get<std::string_view>(server, "kind"), "kind")};
+  info.zone = ZoneId{IndexOf(site.zones, Get<std::string_view>(server, "zone"), "zone")};
   const Micros started_at{GetOr<std::int64_t>(server, "started_ms", 0) * kMicrosPerMillisecond};
   info.started_at = net::ToProgramTime(UnixTime(started_at));  // 0 or not given: started long ago
   info.availability = ParseAvailability(Get<std::string_view>(server, "state"));
   return info;
 }
 
-void AddServer(const element& server, const Site& site, EndpointListChange& change) {
+void AddServer(const element& server, const NamedSettings& site, EndpointListChange& change) {
   const auto name = Get<std::string_view>(server, "id");
   const EndpointInfo info = ParseEndpointInfo(server, name, site);
   const auto address = net::Endpoint::Parse(GetOr<std::string_view>(server, "addr", ""));
@@ -62,7 +62,7 @@
   change.addresses.push_back(address);
 }
 
-EndpointListChange ParseEndpointList(const element& fleet, const Site& site) {
+EndpointListChange ParseEndpointList(const element& fleet, const NamedSettings& site) {
   EndpointListChange change;
   change.update.source = "changelog";
   change.update.version = GetOr<std::uint64_t>(fleet, "version", 0);
@@ -87,7 +87,7 @@
 
 }  // namespace
 
-WatchEventParser::WatchEventParser(const Site& site)
+WatchEventParser::WatchEventParser(const NamedSettings& site)
     : site_(site), parser_(std::make_unique<simdjson::dom::parser>()) {}
 
 WatchEventParser::~WatchEventParser() = default;
--- a/src/front/platform/watch_event.hpp
+++ b/src/front/platform/watch_event.hpp
@@ -35,7 +35,7 @@
 class WatchEventParser {
  public:
   /// `site` lists the kinds and zones that an endpoint may have. It must outlive the parser.
-  explicit WatchEventParser(const Site& site);
+  explicit WatchEventParser(const NamedSettings& site);
   WatchEventParser(const WatchEventParser&) = delete;
   WatchEventParser& operator=(const WatchEventParser&) = delete;
   WatchEventParser(WatchEventParser&&) = delete;
@@ -47,7 +47,7 @@
   std::optional<WatchEvent> Parse(std::string_view json, std::uint64_t last_sequence);
 
  private:
-  const Site& site_;
+  const NamedSettings& site_;
   std::unique_ptr<simdjson::dom::parser> parser_;
 };
 
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -11,7 +11,7 @@
 
 Format g_format = Format::kText;  // set once by Start
 
-std::string TimeNow() { return TimeText(net::UnixNow().SinceEpoch()); }
+std::string TimeNow() { return FormatTime(net::UnixNow().SinceEpoch()); }
 
 }  // namespace
 
--- a/src/record/json.cpp
+++ b/src/record/json.cpp
@@ -41,7 +41,7 @@
 }
 
 Json FieldsOf(const Dictionary&, const wire::Heartbeat& heartbeat) {
-  return {{"wall", TimeText(Micros{heartbeat.wall_us()})},
+  return {{"wall", FormatTime(Micros{heartbeat.wall_us()})},
           {"mono_us", heartbeat.mono_us()},
           {"open", heartbeat.open()}};
 }
@@ -74,7 +74,7 @@
     Json member{{"server", dictionary.ServerName(entry.server())},
                 {"state", Name(static_cast<Availability>(entry.state()))},
                 {"weight", entry.weight()}};
-    if (entry.started_us() != 0) member["started"] = TimeText(Micros{entry.started_us()});
+    if (entry.started_us() != 0) member["started"] = FormatTime(Micros{entry.started_us()});
     list.push_back(std::move(member));
   }
   return {{"source", members.source()},
@@ -83,7 +83,7 @@
           {"members", std::move(list)}};
 }
 Json FieldsOf(const Dictionary&, const wire::Purge& purge) {
-  Json out{{"made", TimeText(Micros{purge.made_us()})}};
+  Json out{{"made", FormatTime(Micros{purge.made_us()})}};
   purge.object() != 0 ? out["object"] = Hex(purge.object()) : out["group"] = Hex(purge.group());
   return out;
 }
@@ -156,7 +156,7 @@
                        {"deadline_ms", Millis(class_settings.deadline_us())},
                        {"worth", class_settings.worth()}});
   }
-  return {{"format", header.format()},         {"started", TimeText(Micros{header.incarnation()})},
+  return {{"format", header.format()},         {"started", FormatTime(Micros{header.incarnation()})},
           {"segment", header.segment()},       {"version", header.version()},
           {"config", Hex(header.config())},    {"front", header.front()},
           {"sample_ppm", header.sample_ppm()}, {"classes", std::move(classes)}};
@@ -180,7 +180,7 @@
 bool IsKind(std::string_view name) { return std::find(kKinds.begin(), kKinds.end(), name) != kKinds.end(); }
 
 Json ToJson(const Dictionary& dictionary, Micros at, const wire::Record& record) {
-  Json out{{"time", TimeText(at)}, {"instance", dictionary.Header().name()}, {"kind", KindOf(record)}};
+  Json out{{"time", FormatTime(at)}, {"instance", dictionary.Header().name()}, {"kind", KindOf(record)}};
   const auto add = [&](const Json& fields) { out.update(fields); };
   switch (record.what_case()) {
     case wire::Record::kHeartbeat:
@@ -219,14 +219,14 @@
       break;
     case wire::Record::kDrain:
       out["server"] = dictionary.ServerName(record.drain().server());
-      out["told"] = TimeText(at - Micros{record.drain().told_us()});
+      out["told"] = FormatTime(at - Micros{record.drain().told_us()});
       out["sent"] = record.drain().sent();
       if (record.drain().sent() > 0) out["last_ms"] = Millis(record.drain().last_us());
       break;
     case wire::Record::kPurgeHeld:
       record.purge_held().object() != 0 ? out["object"] = Hex(record.purge_held().object())
                                         : out["group"] = Hex(record.purge_held().group());
-      out["told"] = TimeText(at - Micros{record.purge_held().told_us()});
+      out["told"] = FormatTime(at - Micros{record.purge_held().told_us()});
       out["served"] = record.purge_held().served();
       if (record.purge_held().served() > 0) {
         out["last_sent_ms"] = Millis(record.purge_held().last_sent_us());
--- a/src/record/json.hpp
+++ b/src/record/json.hpp
@@ -13,7 +13,7 @@
 std::string_view KindOf(const wire::Record& record);
 // Whether KindOf returns this name for some record.
 bool IsKind(std::string_view name);
-// `at`: the record's Unix time, from RecordSink::OnRecord. `dictionary` must have had Apply called with the
+// `at`: the record's Unix time, from RecordSink::OnRecord. `dictionary` must have applied the
 // incarnation's records up to this one.
 nlohmann::ordered_json ToJson(const Dictionary& dictionary, Micros at, const wire::Record& record);
 std::string Hex(std::uint64_t value);  // 16 hex digits
--- a/src/report/html.cpp
+++ b/src/report/html.cpp
@@ -43,7 +43,7 @@
   }
   return out;
 }
-std::string ClockText(Micros at) { return TimeText(at).substr(11, 12); }
+std::string ClockText(Micros at) { return FormatTime(at).substr(11, 12); }
 std::string FormatNumber(double value, int decimals) {
   char text[48];
   std::snprintf(text, sizeof text, "%.*f", decimals, value);
@@ -424,7 +424,7 @@
       rest.remove_prefix(name.size());
       return true;
     };
-    if (replace("@TITLE@", "tinspan, " + TimeText(fleet.from).substr(0, 19)) || replace("@BODY@", body) ||
+    if (replace("@TITLE@", "tinspan, " + FormatTime(fleet.from).substr(0, 19)) || replace("@BODY@", body) ||
         replace("@DATA@", data) || replace("@CHART@", kReportChart)) {
       continue;
     }
--- a/src/report/json.cpp
+++ b/src/report/json.cpp
@@ -33,10 +33,10 @@
 Json ToJson(const Instance& instance) {
   constexpr std::array kEnds{"stopped", "cut", "died", "open"};
   Json out{{"name", instance.name},
-           {"started", TimeText(Micros{instance.incarnation})},
+           {"started", FormatTime(Micros{instance.incarnation})},
            {"version", instance.version},
-           {"from", TimeText(instance.from)},
-           {"to", TimeText(instance.to)},
+           {"from", FormatTime(instance.from)},
+           {"to", FormatTime(instance.to)},
            {"end", kEnds[static_cast<std::size_t>(instance.end)]},
            {"came", instance.received},
            {"dropped_records", instance.dropped_records},
@@ -84,12 +84,13 @@
 Json ToJson(const FleetTimeline& fleet) {
   Json out;
   out["schema"] = "tinspan-report-1";
-  out["from"] = TimeText(fleet.from);
-  out["to"] = TimeText(fleet.to);
+  out["from"] = FormatTime(fleet.from);
+  out["to"] = FormatTime(fleet.to);
   out["sentences"] = fleet.sentences;
-  out["service"] = {{"figure", fleet.ServiceFigure()},        {"whole", fleet.whole_share},
-                    {"worst_10s", fleet.worst_10s_share},     {"worst_10s_at", TimeText(fleet.worst_10s_at)},
-                    {"worst_class", fleet.worst_class_share}, {"usual", fleet.median_share}};
+  out["service"] = {
+      {"figure", fleet.ServiceFigure()},        {"whole", fleet.whole_share},
+      {"worst_10s", fleet.worst_10s_share},     {"worst_10s_at", FormatTime(fleet.worst_10s_at)},
+      {"worst_class", fleet.worst_class_share}, {"usual", fleet.median_share}};
   out["all"] = ToJson(fleet.total);
   out["classes"] = Json::array();
   for (const Tally& tally : fleet.classes) out["classes"].push_back(ToJson(tally));
@@ -100,20 +101,20 @@
   for (const Incident& incident : fleet.incidents) {
     Json causes = Json::array();
     for (const Cause& cause : incident.causes) {
-      causes.push_back({{"at", TimeText(cause.at)},
+      causes.push_back({{"at", FormatTime(cause.at)},
                         {"uncertain_ms", Millis(cause.uncertainty)},
                         {"what", cause.name},
                         {"evidence", cause.evidence}});
     }
-    out["incidents"].push_back({{"from", TimeText(incident.from)},
-                                {"to", TimeText(incident.to)},
+    out["incidents"].push_back({{"from", FormatTime(incident.from)},
+                                {"to", FormatTime(incident.to)},
                                 {"worst_share", incident.worst_share},
                                 {"missed", incident.missed_weight},
                                 {"causes", causes}});
   }
   out["events"] = Json::array();
   for (const Event& event : fleet.events) {
-    Json entry{{"at", TimeText(event.at)},
+    Json entry{{"at", FormatTime(event.at)},
                {"uncertain_ms", Millis(event.uncertainty)},
                {"kind", Name(event.kind)},
                {"who", event.subject},
@@ -127,7 +128,7 @@
   out["bin_ms"] = Millis(width);
   out["bins"] = Json::array();
   for (const TimeBucket& bucket : buckets) {
-    out["bins"].push_back({{"at", TimeText(bucket.at)},
+    out["bins"].push_back({{"at", FormatTime(bucket.at)},
                            {"asked", bucket.requested_weight},
                            {"earned", bucket.earned_weight},
                            {"refused", bucket.refused},
@@ -135,7 +136,7 @@
   }
   out["latency"] = Json::array();
   for (const ClassLatency& latency : fleet.latency) {
-    out["latency"].push_back({{"at", TimeText(latency.at)},
+    out["latency"].push_back({{"at", FormatTime(latency.at)},
                               {"class", latency.class_id},
                               {"p50_ms", Millis(latency.p50)},
                               {"p99_ms", Millis(latency.p99)}});
@@ -144,11 +145,12 @@
   for (const ServerTimeline& server : fleet.servers) {
     Json bands = Json::array(), load = Json::array();
     for (const auto& band : server.bands) {
-      bands.push_back(
-          {{"from", TimeText(band.from)}, {"to", TimeText(band.to)}, {"state", record::Name(band.state)}});
+      bands.push_back({{"from", FormatTime(band.from)},
+                       {"to", FormatTime(band.to)},
+                       {"state", record::Name(band.state)}});
     }
     for (const auto& [at, counts] : server.load)
-      load.push_back({TimeText(at), counts.attempts, counts.failed, counts.rejected});
+      load.push_back({FormatTime(at), counts.attempts, counts.failed, counts.rejected});
     out["servers"].push_back({{"name", server.name},
                               {"address", server.address},
                               {"zone", server.zone},
@@ -163,7 +165,7 @@
   for (const DrainOutcome& drain : fleet.drains) {
     out["drains"].push_back({{"server", drain.server},
                              {"instance", drain.instance},
-                             {"told", TimeText(drain.received_at)},
+                             {"told", FormatTime(drain.received_at)},
                              {"sent_after", drain.sent_after},
                              {"last_after_ms", Millis(drain.last_sent_after)},
                              {"kept", drain.within_limit}});
@@ -172,7 +174,7 @@
   for (const PurgeOutcome& purge : fleet.purges) {
     out["purges"].push_back({{"what", purge.subject},
                              {"instance", purge.instance},
-                             {"told", TimeText(purge.received_at)},
+                             {"told", FormatTime(purge.received_at)},
                              {"served_older", purge.older_copies_served},
                              {"last_sent_after_ms", Millis(purge.last_sent_after)},
                              {"last_served_after_ms", Millis(purge.last_served_after)},
--- a/src/routing/engine.cpp
+++ b/src/routing/engine.cpp
@@ -18,7 +18,7 @@
   if (settings.discovery == Discovery::kPolled) context_.Emit(Subscribe{});
 }
 
-void Router::Engine::Retune(const Settings& settings) {
+void Router::Engine::UpdateSettings(const Settings& settings) {
   context_.settings = Validated(settings);
   state_.costs.OnSettingsChanged();
 }
--- a/src/routing/engine.hpp
+++ b/src/routing/engine.hpp
@@ -15,9 +15,9 @@
 // event is documented in tinspan/router.hpp.
 class Router::Engine {
  public:
-  // Throws std::invalid_argument on invalid settings; so does Retune.
+  // Throws std::invalid_argument on invalid settings; so does UpdateSettings.
   Engine(const Settings& settings, Micros now, Actions& out);
-  void Retune(const Settings& settings);
+  void UpdateSettings(const Settings& settings);
 
   // Call this before each event. Advances the clock, which never goes back, and sets the output for actions.
   void BeginEvent(Micros now, Actions& out);
--- a/src/routing/request.hpp
+++ b/src/routing/request.hpp
@@ -37,7 +37,8 @@
   RequestEvent event;
   ClassSettings traffic_class;  // copied when the request arrived; classes are never modified
   Micros deadline{0};
-  std::uint32_t max_attempts = 0;  // from the settings when the request arrived; Retune does not change it
+  std::uint32_t max_attempts =
+      0;  // from the settings when the request arrived; UpdateSettings does not change it
   std::vector<Attempt> attempts;
   std::vector<ServerIndex> cache_order;  // caches in rendezvous order when the request arrived
   bool is_ended = false;                 // has its final response, or needs none
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -13,20 +13,22 @@
 Router::Router(Router&&) noexcept = default;
 Router& Router::operator=(Router&&) noexcept = default;
 
-void Router::Retune(const Settings& settings) { engine_->Retune(settings); }
+void Router::UpdateSettings(const Settings& settings) { engine_->UpdateSettings(settings); }
 
 template <class Event>
-void Router::Pass(Micros now, const Event& event, Actions& out) {
+void Router::Forward(Micros now, const Event& event, Actions& out) {
   engine_->BeginEvent(now, out);
   engine_->Handle(event);
 }
 
-void Router::Handle(Micros now, const EndpointsEvent& event, Actions& out) { Pass(now, event, out); }
-void Router::Handle(Micros now, const RequestEvent& event, Actions& out) { Pass(now, event, out); }
-void Router::Handle(Micros now, const ResponseStartedEvent& event, Actions& out) { Pass(now, event, out); }
-void Router::Handle(Micros now, const OutcomeEvent& event, Actions& out) { Pass(now, event, out); }
-void Router::Handle(Micros now, const ClientDisconnectedEvent& event, Actions& out) { Pass(now, event, out); }
-void Router::Handle(Micros now, const TimerEvent& event, Actions& out) { Pass(now, event, out); }
-void Router::Handle(Micros now, const PurgeEvent& event, Actions& out) { Pass(now, event, out); }
+void Router::Handle(Micros now, const EndpointsEvent& event, Actions& out) { Forward(now, event, out); }
+void Router::Handle(Micros now, const RequestEvent& event, Actions& out) { Forward(now, event, out); }
+void Router::Handle(Micros now, const ResponseStartedEvent& event, Actions& out) { Forward(now, event, out); }
+void Router::Handle(Micros now, const OutcomeEvent& event, Actions& out) { Forward(now, event, out); }
+void Router::Handle(Micros now, const ClientDisconnectedEvent& event, Actions& out) {
+  Forward(now, event, out);
+}
+void Router::Handle(Micros now, const TimerEvent& event, Actions& out) { Forward(now, event, out); }
+void Router::Handle(Micros now, const PurgeEvent& event, Actions& out) { Forward(now, event, out); }
 
 }  // namespace tinspan
--- a/src/setup/retune.cpp
+++ b/src/setup/reload.cpp
@@ -1,4 +1,4 @@
-#include "setup/retune.hpp"
+#include "setup/reload.hpp"
 
 #include <algorithm>
 
@@ -14,8 +14,8 @@
   return false;
 }
 
-Retuned Retune(const Site& current, const Site& updated) {
-  Retuned result;
+ReloadResult MergeReloadedSettings(const NamedSettings& current, const NamedSettings& updated) {
+  ReloadResult result;
   result.site = current;
   std::vector<ClassSettings>& classes = result.site.settings.classes;
   for (std::size_t i = 0; i < updated.classes.size(); ++i) {
--- a/src/setup/retune.hpp
+++ b/src/setup/reload.hpp
@@ -18,15 +18,15 @@
 namespace tinspan {
 
 /// The settings that result from a reload, and what differs from the previous ones.
-struct Retuned {
-  Site site;
+struct ReloadResult {
+  NamedSettings site;
   std::vector<std::string> added;    // names of the classes that were appended
   std::vector<std::string> dropped;  // names of the classes that the new settings omit
   bool changed = false;              // a class was appended, or the number of attempts differs
 };
 
 /// Merges the reloaded settings `updated` into `current`; see the guarantees above.
-Retuned Retune(const Site& current, const Site& updated);
+ReloadResult MergeReloadedSettings(const NamedSettings& current, const NamedSettings& updated);
 
 /// Stores the index of the last class named `name` in `index`. Returns false and leaves `index` unchanged if
 /// there is no such class.
--- a/src/setup/setup.cpp
+++ b/src/setup/setup.cpp
@@ -2,21 +2,21 @@
 
 namespace tinspan {
 
-std::uint32_t PlaceOf(const Names& names, std::string_view name, std::string_view field) {
+std::uint32_t IndexOf(const Names& names, std::string_view name, std::string_view field) {
   for (std::size_t i = 0; i < names.size(); ++i) {
     if (names[i] == name) return static_cast<std::uint32_t>(i);
   }
   throw Malformed{std::string(field), "a name that the settings give, not '" + std::string(name) + "'"};
 }
 
-Site ReadSite(const SettingsMap& input) {
-  Site site;
+NamedSettings ReadSettings(const SettingsMap& input) {
+  NamedSettings site;
   Settings& settings = site.settings;
   for (const std::string_view zone : input.List("areas")) site.zones.emplace_back(zone);
   for (const std::string_view kind : input.List("kinds")) site.kinds.emplace_back(kind);
   settings.zone_count = static_cast<std::uint32_t>(site.zones.size());
   settings.kind_count = static_cast<std::uint32_t>(site.kinds.size());
-  settings.zone = ZoneId{PlaceOf(site.zones, input.Require("zone"), "zone")};
+  settings.zone = ZoneId{IndexOf(site.zones, input.Require("zone"), "zone")};
   const auto class_entry = [&](const std::string& path, std::size_t i) {
     const auto list = input.List(path);
     return i < list.size() ? list[i] : std::string_view{"-"};
@@ -27,17 +27,17 @@
   };
   const auto class_bool = [&](const std::string& path, std::size_t i) {
     const std::string_view text = class_entry(path, i);
-    return !IsAbsent(text) && Choose<bool>(text, path, {{"true", true}, {"false", false}});
+    return !IsAbsent(text) && ParseEnum<bool>(text, path, {{"true", true}, {"false", false}});
   };
   const std::uint32_t class_count = ParseNumber<std::uint32_t>(input.Require("lanes.count"), "lanes.count");
   for (std::uint32_t i = 0; i < class_count; ++i) {
     const std::string prefix = "lanes." + std::to_string(i) + ".";
     site.classes.emplace_back(input.Require(prefix + "name"));
     ClassSettings class_settings;
-    class_settings.effect = Choose<Effect>(input.Require(prefix + "effect"), prefix + "effect",
-                                           {{"repeatable", Effect::kIdempotent},
-                                            {"by_key", Effect::kIdempotencyKey},
-                                            {"once", Effect::kNonIdempotent}});
+    class_settings.effect = ParseEnum<Effect>(input.Require(prefix + "effect"), prefix + "effect",
+                                              {{"repeatable", Effect::kIdempotent},
+                                               {"by_key", Effect::kIdempotencyKey},
+                                               {"once", Effect::kNonIdempotent}});
     class_settings.idempotency_scope =
         input.Enum<IdempotencyScope>(prefix + "keyScope", IdempotencyScope::kCell,
                                      {{"all", IdempotencyScope::kAll},
@@ -60,7 +60,7 @@
     settings.classes.push_back(class_settings);
   }
   for (const std::string_view parent_zone : input.List("familyInfo.attachedTo")) {
-    settings.zone_hubs.push_back(ParseNumber<std::uint32_t>(parent_zone, "familyInfo.attachedTo"));
+    settings.zone_parent_zones.push_back(ParseNumber<std::uint32_t>(parent_zone, "familyInfo.attachedTo"));
   }
   for (const std::string_view count : input.List("familyInfo.instancesByZone")) {
     settings.zone_instance_counts.push_back(ParseNumber<std::uint32_t>(count, "familyInfo.instancesByZone"));
@@ -98,7 +98,7 @@
   settings.transfer_rate_kb_per_s = input.Number("familyInfo.paceKbPerS");
   settings.max_attempts = input.Uint32("limits.maxAttempts");
   settings.max_retry_after = input.Millis("limits.maxRetryAfterMs");
-  settings.answer_grace = input.Millis("rules.graceToAnswerMs");
+  settings.response_grace = input.Millis("rules.graceToAnswerMs");
   settings.event_interval = input.Millis("tickMs");
   settings.connect_timeout = input.Millis("limits.connectTimeoutMs");
   settings.drain_window = input.Millis("rules.drainGraceMs");
@@ -116,7 +116,7 @@
   return site;
 }
 
-LoadReport ReadLoad(std::string_view text, char separator) {
+LoadReport ParseLoadReport(std::string_view text, char separator) {
   LoadReport load;
   if (IsAbsent(text)) return load;
   for (const std::string_view pair : Split(text, separator)) {
--- a/src/setup/setup.hpp
+++ b/src/setup/setup.hpp
@@ -43,7 +43,7 @@
   }
   /// Returns false if the value is absent.
   bool Bool(const std::string& path) const {
-    return !IsAbsent(Text(path)) && Choose<bool>(Text(path), path, {{"true", true}, {"false", false}});
+    return !IsAbsent(Text(path)) && ParseEnum<bool>(Text(path), path, {{"true", true}, {"false", false}});
   }
   /// Returns an empty list if the value is absent.
   std::vector<std::string_view> List(const std::string& path) const {
@@ -53,7 +53,7 @@
   template <class Value>
   Value Enum(const std::string& path, Value fallback,
              std::initializer_list<std::pair<std::string_view, Value>> words) const {
-    return IsAbsent(Text(path)) ? fallback : Choose<Value>(Text(path), path, words);
+    return IsAbsent(Text(path)) ? fallback : ParseEnum<Value>(Text(path), path, words);
   }
 
  private:
@@ -63,11 +63,11 @@
 using Names = std::vector<std::string>;
 
 /// Returns the index of `name` in `names`; throws Malformed with `field` if it is not there.
-std::uint32_t PlaceOf(const Names& names, std::string_view name, std::string_view field);
+std::uint32_t IndexOf(const Names& names, std::string_view name, std::string_view field);
 
 /// The module's settings and the names of the ids in them: a class, zone or kind id is an index into its
 /// list.
-struct Site {
+struct NamedSettings {
   Settings settings;
   Names classes;
   Names zones;
@@ -75,10 +75,10 @@
 };
 
 /// Throws Malformed, which names the path, if a value is missing or invalid.
-Site ReadSite(const SettingsMap& input);
+NamedSettings ReadSettings(const SettingsMap& input);
 
 /// Parses a load report of `name:value` pairs separated by `separator`. Unknown names are ignored. Throws
 /// Malformed if a pair has no colon or its value is not a number.
-LoadReport ReadLoad(std::string_view text, char separator);
+LoadReport ParseLoadReport(std::string_view text, char separator);
 
 }  // namespace tinspan
--- a/src/setup/text.hpp
+++ b/src/setup/text.hpp
@@ -69,8 +69,8 @@
 
 /// Returns the value that `words` assigns to `text`.
 template <class Value>
-Value Choose(std::string_view text, std::string_view field,
-             std::initializer_list<std::pair<std::string_view, Value>> words) {
+Value ParseEnum(std::string_view text, std::string_view field,
+                std::initializer_list<std::pair<std::string_view, Value>> words) {
   std::string expected = "one of";
   for (const auto& [word, value] : words) {
     if (word == text) return value;
--- a/src/setup/time_text.cpp
+++ b/src/setup/time_text.cpp
@@ -8,7 +8,7 @@
 
 namespace tinspan {
 
-std::string TimeText(Micros unix_time) {
+std::string FormatTime(Micros unix_time) {
   const auto whole_seconds = std::chrono::floor<std::chrono::seconds>(unix_time);
   const std::time_t seconds = static_cast<std::time_t>(whole_seconds.count());
   std::tm utc{};
@@ -20,7 +20,7 @@
   return text.data();
 }
 
-std::optional<Micros> ReadTime(std::string_view text) {
+std::optional<Micros> ParseTime(std::string_view text) {
   if (text.starts_with('@')) {
     double seconds = 0;
     const auto [end, error] = std::from_chars(text.data() + 1, text.data() + text.size(), seconds);
--- a/src/setup/time_text.hpp
+++ b/src/setup/time_text.hpp
@@ -10,9 +10,9 @@
 namespace tinspan {
 
 /// Formats a time with microseconds, such as 2026-12-01T14:03:00.250000Z.
-std::string TimeText(Micros unix_time);
+std::string FormatTime(Micros unix_time);
 /// Parses the format above, with any number of decimals or none, or `@SECONDS` since 1970 with optional
 /// decimals. Returns nullopt for any other text.
-std::optional<Micros> ReadTime(std::string_view text);
+std::optional<Micros> ParseTime(std::string_view text);
 
 }  // namespace tinspan
--- a/src/timeline/fleet_timeline.cpp
+++ b/src/timeline/fleet_timeline.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::size_t kMaxWorstRequests = 24;
 
-std::string ClockText(Micros at) { return TimeText(at).substr(11, 12); }  // HH:MM:SS.mmm
+std::string ClockText(Micros at) { return FormatTime(at).substr(11, 12); }  // HH:MM:SS.mmm
 
 std::string PlusMinusText(Micros uncertainty) {
   return uncertainty > Micros{0} ? " (± " + FormatSeconds(uncertainty) + ")" : "";
@@ -20,8 +20,8 @@
 
 void BuildSummary(FleetTimeline& fleet) {
   std::vector<std::string>& out = fleet.sentences;
-  out.push_back("From " + TimeText(fleet.from).substr(0, 19) + "Z to " + TimeText(fleet.to).substr(0, 19) +
-                "Z, " + std::to_string(fleet.instances.size()) +
+  out.push_back("From " + FormatTime(fleet.from).substr(0, 19) + "Z to " +
+                FormatTime(fleet.to).substr(0, 19) + "Z, " + std::to_string(fleet.instances.size()) +
                 (fleet.instances.size() == 1 ? " life of an instance" : " lives of instances") + " took " +
                 std::to_string(fleet.total.received) + " requests; " + FormatPercent(fleet.whole_share) +
                 " of the worth was answered in time. Service: " + FormatPercent(fleet.ServiceFigure()) +
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -8,7 +8,7 @@
 
 #include <string>
 
-#include "setup/retune.hpp"
+#include "setup/reload.hpp"
 
 namespace {
 
@@ -149,35 +149,35 @@
 
 namespace {
 
-tinspan::Site ParseSite(const std::string& text) {
+tinspan::NamedSettings ParseSite(const std::string& text) {
   return tinspan::config::ParsePlatform(text, "n0", "127.0.0.1:7001").site;
 }
 
 // Existing classes keep their indices; new and changed ones are appended; the number of attempts is applied.
 // A class that the new settings omit remains, for the clients that still use it.
-TEST(Retune, KeepsIndicesAndAppendsNewClasses) {
-  const tinspan::Site current = ParseSite(kValidConfig);
+TEST(MergeReloadedSettings, KeepsIndicesAndAppendsNewClasses) {
+  const tinspan::NamedSettings current = ParseSite(kValidConfig);
   std::string text = Replaced(kValidConfig, R"("name":"pages")", R"("name":"pages_new")");
   text = Replaced(text, R"("effect":"by_key")", R"("effect":"once")");
   text = Replaced(text, "\"maxAttempts\":8", "\"maxAttempts\":2");
-  const tinspan::Retuned retuned = tinspan::Retune(current, ParseSite(text));
-  ASSERT_TRUE(retuned.changed);
-  EXPECT_EQ(retuned.site.classes, (tinspan::Names{"pages", "orders", "pages_new", "orders"}));
-  EXPECT_EQ(retuned.added, (std::vector<std::string>{"pages_new", "orders"}));
-  EXPECT_EQ(retuned.dropped, (std::vector<std::string>{"pages"}));
-  EXPECT_EQ(retuned.site.settings.classes[1].effect,
+  const tinspan::ReloadResult reloaded = tinspan::MergeReloadedSettings(current, ParseSite(text));
+  ASSERT_TRUE(reloaded.changed);
+  EXPECT_EQ(reloaded.site.classes, (tinspan::Names{"pages", "orders", "pages_new", "orders"}));
+  EXPECT_EQ(reloaded.added, (std::vector<std::string>{"pages_new", "orders"}));
+  EXPECT_EQ(reloaded.dropped, (std::vector<std::string>{"pages"}));
+  EXPECT_EQ(reloaded.site.settings.classes[1].effect,
             tinspan::Effect::kIdempotencyKey);  // open requests keep their rules
-  EXPECT_EQ(retuned.site.settings.classes[3].effect, tinspan::Effect::kNonIdempotent);
-  EXPECT_EQ(retuned.site.settings.max_attempts, 2u);
+  EXPECT_EQ(reloaded.site.settings.classes[3].effect, tinspan::Effect::kNonIdempotent);
+  EXPECT_EQ(reloaded.site.settings.max_attempts, 2u);
   std::size_t index = 0;
-  ASSERT_TRUE(tinspan::FindClass(retuned.site.classes, "orders", index));
+  ASSERT_TRUE(tinspan::FindClass(reloaded.site.classes, "orders", index));
   EXPECT_EQ(index, 3u);  // new requests get the new rules
-  ASSERT_TRUE(tinspan::FindClass(retuned.site.classes, "pages", index));
+  ASSERT_TRUE(tinspan::FindClass(reloaded.site.classes, "pages", index));
   EXPECT_EQ(index, 0u);
-  EXPECT_FALSE(tinspan::FindClass(retuned.site.classes, "scans", index));
+  EXPECT_FALSE(tinspan::FindClass(reloaded.site.classes, "scans", index));
   // Reloading the same file changes nothing.
-  EXPECT_FALSE(tinspan::Retune(retuned.site, ParseSite(text)).changed);
-  EXPECT_FALSE(tinspan::Retune(current, ParseSite(kValidConfig)).changed);
+  EXPECT_FALSE(tinspan::MergeReloadedSettings(reloaded.site, ParseSite(text)).changed);
+  EXPECT_FALSE(tinspan::MergeReloadedSettings(current, ParseSite(kValidConfig)).changed);
 }
 
 }  // namespace
--- a/tests/platform/watch_event_test.cpp
+++ b/tests/platform/watch_event_test.cpp
@@ -42,7 +42,7 @@
   }
 
  private:
-  Site site_;
+  NamedSettings site_;
   WatchEventParser parser_{site_};
 };
 
--- a/tests/routing/invariants_test.cpp
+++ b/tests/routing/invariants_test.cpp
@@ -153,7 +153,7 @@
   void CheckDeadlines() const {
     for (const auto& [request_id, request] : requests_) {
       EXPECT_TRUE(request.answered_at >= 0us ||
-                  fixture_.now < request.deadline + fixture_.settings.answer_grace);
+                  fixture_.now < request.deadline + fixture_.settings.response_grace);
     }
   }
 
--- a/tests/routing/router_fixture.hpp
+++ b/tests/routing/router_fixture.hpp
@@ -33,7 +33,7 @@
     settings.transfer_rate_kb_per_s = 1000;
     settings.max_attempts = 6;
     settings.max_retry_after = 1s;
-    settings.answer_grace = 8ms;
+    settings.response_grace = 8ms;
     settings.event_interval = 2ms;
     settings.connect_timeout = 400ms;
     settings.drain_window = 1s;
