--- a/src/cli/init.cpp
+++ b/src/cli/init.cpp
@@ -64,7 +64,7 @@
       {path_of("operator_token_file"), NewToken() + "\n"}};
   WriteNewFiles(files);
   try {  // the options may hold invalid values
-    const config::Http config = config::ReadHttp(files[0].first);
+    const config::Gateway config = config::ReadHttp(files[0].first);
     http::ReadKeys(config, config.keys);
     http::ReadSigningKey(config);
   } catch (const config::Error&) {
--- a/src/cli/keys.cpp
+++ b/src/cli/keys.cpp
@@ -52,7 +52,7 @@
   http::AccessRules rules{OptionText(values, "origin"), OptionText(values, "audience"), net::Micros{0}};
   std::string keys = OptionText(values, "key"), json;
   if (values.count("operator-file") > 0) {
-    const config::Http config = config::ReadHttp(OptionText(values, "operator-file"));
+    const config::Gateway config = config::ReadHttp(OptionText(values, "operator-file"));
     if (rules.origin.empty()) rules.origin = config.origin;
     if (rules.audience.empty()) rules.audience = config.audience;
     if (keys.empty()) {
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -20,7 +20,7 @@
   return {.response_margin = config.response_margin};
 }
 
-std::unique_ptr<record::Recorder> MakeRecorder(const config::Http& config) {
+std::unique_ptr<record::Recorder> MakeRecorder(const config::Gateway& config) {
   if (config.record.folder.empty()) return nullptr;
   const std::string text = config::ReadFile("operator-file", config.path);
   record::RecorderOptions options{.folder = config.record.folder,
@@ -50,7 +50,8 @@
 
 // Returns null if the configuration has no `members`. The platform's usual configurations have none: its
 // instances share nothing.
-std::unique_ptr<members::Node> MakeMembers(net::EventLoop& loop, const config::CommonConfig& config) {
+std::unique_ptr<members::MembershipNode> MakeMembers(net::EventLoop& loop,
+                                                     const config::CommonConfig& config) {
   if (!config.members) return nullptr;
   const config::Members& membership = *config.members;
   members::NodeOptions options;
@@ -70,7 +71,7 @@
   options.view.dead_retention = membership.dead_retention;
   // A random stream separate from those of the other users of the seed.
   options.random_seed = config.seed ^ 0x6d656d62657273ull;
-  return std::make_unique<members::Node>(loop, std::move(options));
+  return std::make_unique<members::MembershipNode>(loop, std::move(options));
 }
 
 // The ballot timeout of a candidate is the lease duration divided by this.
@@ -78,7 +79,7 @@
 
 // Returns null if there is no fleet view or the configuration has no `leases`, as on the platform.
 std::unique_ptr<lease::Agent> MakeLeases(net::EventLoop& loop, const config::CommonConfig& config,
-                                         members::Node* node) {
+                                         members::MembershipNode* node) {
   if (!config.leases || node == nullptr) return nullptr;
   const config::Leases& leases = *config.leases;
   lease::AgentOptions options;
@@ -118,7 +119,7 @@
   add_counter("purges_refused_total", agent.Purges().RejectedCount());
 }
 
-front::AttachedServices MakeAttachedServices(members::Node* node, lease::Agent* agent) {
+front::AttachedServices MakeAttachedServices(members::MembershipNode* node, lease::Agent* agent) {
   front::AttachedServices attached;
   if (node == nullptr) return attached;
   attached.views.members = [node] { return node->FormatMembers(); };
@@ -179,7 +180,7 @@
                                        MakeCoordinatorOptions(config));
   const std::unique_ptr<record::Recorder> recorder = MakeRecorder(config);
   // Must outlive the front, which queries it.
-  const std::unique_ptr<members::Node> fleet = MakeMembers(loop, config);
+  const std::unique_ptr<members::MembershipNode> fleet = MakeMembers(loop, config);
   const std::unique_ptr<lease::Agent> leases = MakeLeases(loop, config, fleet.get());
   if (leases) {
     leases->SetPurgeHandler([&events](const lease::Purge& purge) {
@@ -206,8 +207,8 @@
   front::Run(loop, signals, coordinator, front, events, recorder.get());
 }
 
-config::Http ReadGateway(const Values& values) {
-  config::Http config = config::ReadHttp(values["operator-file"].as<std::string>());
+config::Gateway ReadGateway(const Values& values) {
+  config::Gateway config = config::ReadHttp(values["operator-file"].as<std::string>());
   http::ReadKeys(config, config.keys);
   http::ReadSigningKey(config);
   return config;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -126,9 +126,9 @@
       return value > Micros{0} ? value : fallback;
     };
     out.connect_timeout = millis("limits.connectTimeoutMs", out.connect_timeout);
-    out.idle_close = millis("limits.idleCloseMs", out.idle_close);
+    out.idle_timeout = millis("limits.idleCloseMs", out.idle_timeout);
     const std::uint32_t max_streams = map.Uint32("limits.streamsPerConn");
-    if (max_streams > 0) out.exchanges = max_streams;
+    if (max_streams > 0) out.max_streams_per_connection = max_streams;
   } catch (const Malformed& malformed) {
     ThrowExpected("settings." + malformed.field, malformed.expected);
   }
@@ -143,9 +143,9 @@
   }
   if (out.site.settings.max_attempts == 0)
     ThrowExpected("settings.limits.maxAttempts", "a whole number above 0");
-  out.longest = Micros{0};
+  out.longest_deadline = Micros{0};
   for (const ClassSettings& item : out.site.settings.classes)
-    out.longest = std::max(out.longest, item.deadline);
+    out.longest_deadline = std::max(out.longest_deadline, item.deadline);
 }
 
 // Throws Error if the environment variable is unset or empty.
@@ -186,7 +186,7 @@
   if (out.sockets < 64) ThrowExpected("limits.sockets", "64 at least");
 }
 
-void ReadRoutes(const object& root, Http& out) {
+void ReadRoutes(const object& root, Gateway& out) {
   out.routes.resize(out.site.classes.size());
   std::size_t index = 0;
   for (const element item : List(Require(root, "routes", "routes"), "routes")) {
@@ -203,18 +203,18 @@
     }
     try {
       target.access =
-          ParseEnum<Carrier>(TextOr(route, "access", path + ".access", "either"), path + ".access",
-                             {{"open", Carrier::kOpen},
-                              {"link", Carrier::kLink},
-                              {"token", Carrier::kToken},
-                              {"either", Carrier::kEither}});
+          ParseEnum<AccessMethod>(TextOr(route, "access", path + ".access", "either"), path + ".access",
+                                  {{"open", AccessMethod::kOpen},
+                                   {"link", AccessMethod::kLink},
+                                   {"token", AccessMethod::kToken},
+                                   {"either", AccessMethod::kEither}});
     } catch (const Malformed& malformed) {
       ThrowExpected(malformed.field, malformed.expected);
     }
   }
 }
 
-void ReadConsul(const object& root, const std::string& folder, Http& out) {
+void ReadConsul(const object& root, const std::string& folder, Gateway& out) {
   const object consul = Object(Require(root, "consul", "consul"), "consul");
   out.consul =
       Address(Text(Require(consul, "address", "consul.address"), "consul.address"), "consul.address");
@@ -427,7 +427,7 @@
   return {std::istreambuf_iterator<char>(in), {}};
 }
 
-Http ReadHttp(const std::string& path) {
+Gateway ReadHttp(const std::string& path) {
   try {
     const std::string json = ReadFile("operator-file", path);
     const std::size_t slash = path.rfind('/');
@@ -439,7 +439,7 @@
     }
     const object root = Object(root_element, "file");
     const auto text = [&](const char* key) { return Text(Require(root, key, key), key); };
-    Http out;
+    Gateway out;
     out.path = path;
     out.name = text("name");
     out.listen = Address(text("listen"), "listen");
@@ -467,10 +467,10 @@
       out.operator_token = WithoutTrailingSpace(ReadFile("operator_token_file", folder + token));
     if (!token.empty() && out.operator_token.size() < 16)
       ThrowExpected("operator_token_file", "16 characters at least");
-    out.leeway = MillisOr(root, "clock_leeway_ms", "clock_leeway_ms", out.leeway);
-    out.stall = MillisOr(root, "stall_ms", "stall_ms", out.stall);
-    out.most_body = UnsignedOr(root, "most_body_bytes", "most_body_bytes", out.most_body);
-    if (out.most_body > (1 << 20)) ThrowExpected("most_body_bytes", "1 MiB at most");
+    out.clock_leeway = MillisOr(root, "clock_leeway_ms", "clock_leeway_ms", out.clock_leeway);
+    out.stall_timeout = MillisOr(root, "stall_ms", "stall_ms", out.stall_timeout);
+    out.max_body_bytes = UnsignedOr(root, "most_body_bytes", "most_body_bytes", out.max_body_bytes);
+    if (out.max_body_bytes > (1 << 20)) ThrowExpected("most_body_bytes", "1 MiB at most");
     ReadRoutes(root, out);
     ReadConsul(root, folder, out);
     ReadRecord(root, folder, out.record);
@@ -548,11 +548,11 @@
   const auto [end, error] = std::from_chars(seed.data(), seed.data() + seed.size(), out.seed, 16);
   if (error != std::errc{} || end != seed.data() + seed.size()) ThrowExpected("seed", "hex digits");
   ReadLimits(root, out.limits);
-  out.changelog = Address(Text(Require(root, "changelog", "changelog"), "changelog"), "changelog");
+  out.watch_address = Address(Text(Require(root, "changelog", "changelog"), "changelog"), "changelog");
   const object known = Object(Require(root, "known", "known"), "known");
-  out.known_seq = Unsigned(Require(known, "seq", "known.seq"), "known.seq");
+  out.initial_sequence = Unsigned(Require(known, "seq", "known.seq"), "known.seq");
   for (const element item : List(Require(known, "results", "known.results"), "known.results"))
-    out.known.push_back(simdjson::minify(item));
+    out.initial_events.push_back(simdjson::minify(item));
   ReadSettingsSection(Require(root, "settings", "settings"), out);
   if (const char* const ops_address = std::getenv("PROXY_OPS");
       ops_address != nullptr && *ops_address != '\0') {
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -27,11 +27,11 @@
   /// listeners, two connections to the change log, the admin listener and its eight callers. They are
   /// deducted before the rest is divided between clients and servers, so that idle clients that use up their
   /// share block neither these nor the server connections.
-  static constexpr std::size_t kKept = 20;
-  std::size_t ClientSockets() const { return (sockets - kKept) * 5 / 8; }
-  std::size_t ServerSockets() const { return (sockets - kKept) / 4; }
+  static constexpr std::size_t kReservedDescriptors = 20;
+  std::size_t ClientSockets() const { return (sockets - kReservedDescriptors) * 5 / 8; }
+  std::size_t ServerSockets() const { return (sockets - kReservedDescriptors) / 4; }
   /// For client connections that linger after the last response until the client closes them.
-  std::size_t PartingSockets() const { return (sockets - kKept) / 16; }
+  std::size_t LingeringSockets() const { return (sockets - kReservedDescriptors) / 16; }
 };
 
 /// The fleet view (docs/design/members.md). It is off if the file has no `members`.
@@ -77,10 +77,10 @@
   Limits limits;
   NamedSettings site;
   Micros connect_timeout{400'000};
-  Micros idle_close{30'000'000};
-  std::size_t exchanges = 100;    // concurrent, on one connection to a server
-  Micros longest{6'000'000};      // the longest deadline of any class
-  Micros response_margin{2'000};  // deducted from the time that a client allows
+  Micros idle_timeout{30'000'000};
+  std::size_t max_streams_per_connection = 100;  // concurrent, on one connection to a server
+  Micros longest_deadline{6'000'000};            // the longest deadline of any class
+  Micros response_margin{2'000};                 // deducted from the time that a client allows
   // The address of the admin listener; without one there is no admin listener. On the platform $PROXY_OPS
   // takes precedence over `ops` of the file, so that the second process of an upgrade can listen elsewhere
   // with the same file. The gateway uses `ops` of its file.
@@ -91,18 +91,18 @@
 
 /// Configuration on the platform: PROXY_NAME, PROXY_LISTEN and the file at PROXY_CONFIG.
 struct Platform : CommonConfig {
-  net::Endpoint changelog;
-  std::uint64_t known_seq = 0;
-  std::vector<std::string> known;  // change log events up to known_seq, each a JSON object
+  net::Endpoint watch_address;
+  std::uint64_t initial_sequence = 0;
+  std::vector<std::string> initial_events;  // change log events up to initial_sequence, each a JSON object
 };
 
 /// What must carry a client's authorization at the gateway: nothing, a signed link, a bearer token, or either
 /// of the two.
-enum class Carrier { kOpen, kLink, kToken, kEither };
+enum class AccessMethod { kOpen, kLink, kToken, kEither };
 /// The requests of the class with the same index in the settings.
 struct Route {
   std::string prefix;
-  Carrier access = Carrier::kEither;
+  AccessMethod access = AccessMethod::kEither;
 };
 struct ConsulService {
   std::string name;
@@ -117,7 +117,7 @@
   std::uint32_t sample_ppm = 10'000;  // traced share of the successful requests
 };
 /// Configuration of the gateway between sites: an operator's file.
-struct Http : CommonConfig {
+struct Gateway : CommonConfig {
   std::string path;       // of the operator's file
   std::string origin;     // scheme and authority under which links are signed
   std::string authority;  // of `origin`
@@ -126,9 +126,9 @@
   std::string keys;       // a JWK set
   std::string signing_key;
   std::string operator_token;  // if empty, the operator's endpoint is off
-  Micros leeway{5'000'000};
-  Micros stall{10'000'000};
-  std::size_t most_body = 48'000;
+  Micros clock_leeway{5'000'000};
+  Micros stall_timeout{10'000'000};
+  std::size_t max_body_bytes = 48'000;
   std::vector<Route> routes;
   net::Endpoint consul;
   std::string consul_token;
@@ -139,7 +139,7 @@
 };
 
 /// Reads a gateway's file and the files that it names. Throws Error.
-Http ReadHttp(const std::string& path);
+Gateway ReadHttp(const std::string& path);
 /// Returns the content of a file. Throws Error, which names `key`, if the file cannot be read.
 std::string ReadFile(const std::string& key, const std::string& path);
 /// Reads the platform's configuration from the environment variables and the file. Throws Error.
--- a/src/front/http/access.cpp
+++ b/src/front/http/access.cpp
@@ -105,7 +105,7 @@
   // `cdniip` binds the link to a client address. Its format is not supported, so the address cannot be
   // verified and the link is rejected.
   if (claims["cdniip"].error() != simdjson::NO_SUCH_FIELD) return false;
-  return AreCriticalClaimsSupported(claims) && IsWithinValidityPeriod(claims, now, rules_.leeway) &&
+  return AreCriticalClaimsSupported(claims) && IsWithinValidityPeriod(claims, now, rules_.clock_leeway) &&
          IsAudienceValid(claims, rules_.audience) &&
          MatchesUriContainer(claims, rules_.origin + target.Uri());
 }
@@ -120,16 +120,16 @@
   }
   // The JWT of a signed link is not accepted as a bearer token: it authorizes one URI only.
   if (claims["cdniuc"].error() != simdjson::NO_SUCH_FIELD) return false;
-  return IsWithinValidityPeriod(claims, now, rules_.leeway) && IsAudienceValid(claims, rules_.audience);
+  return IsWithinValidityPeriod(claims, now, rules_.clock_leeway) && IsAudienceValid(claims, rules_.audience);
 }
 
 std::string Signer::MakeClaims(UnixTime now, UnixTime deadline, const std::string& extra_claims) const {
   const auto numeric_date = [](UnixTime time) {
     return std::to_string(time.SinceEpoch().count() / 1'000'000);
   };
-  const std::string valid_from = numeric_date(now - rules_.leeway);
+  const std::string valid_from = numeric_date(now - rules_.clock_leeway);
   // Rounded up, so that the truncation to whole seconds does not end the validity before the deadline.
-  const std::string valid_until = numeric_date(deadline + rules_.leeway + Micros{999'999});
+  const std::string valid_until = numeric_date(deadline + rules_.clock_leeway + Micros{999'999});
   return R"({"iss":")" + issuer_ + R"(","aud":")" + rules_.audience + R"(","iat":)" + valid_from +
          R"(,"nbf":)" + valid_from + R"(,"exp":)" + valid_until + extra_claims + "}";
 }
--- a/src/front/http/access.hpp
+++ b/src/front/http/access.hpp
@@ -18,7 +18,7 @@
   std::string origin;    // scheme and authority of the signed URIs, such as https://scans.example.is
   std::string audience;  // the expected `aud` claim; a link or token without one is valid too
   /// Tolerated clock difference; every time bound is extended by it.
-  Micros leeway{5'000'000};
+  Micros clock_leeway{5'000'000};
 };
 
 /// Verifies links and tokens against a key set. Not thread-safe.
--- a/src/front/http/clients.cpp
+++ b/src/front/http/clients.cpp
@@ -84,7 +84,7 @@
 }
 GroupId GroupIdOf(std::string_view segment) { return GroupId{static_cast<std::uint64_t>(HashName(segment))}; }
 
-DownstreamConnections::DownstreamConnections(net::EventLoop& loop, const config::Http& config,
+DownstreamConnections::DownstreamConnections(net::EventLoop& loop, const config::Gateway& config,
                                              core::RequestCoordinator& coordinator, AccessVerifier& verifier,
                                              std::vector<core::Event>& events)
     : loop_(loop),
@@ -105,7 +105,7 @@
   }
   const std::uint64_t id = ++last_client_id_;
   Client& client = clients_[id];
-  const net::Connection::Limits limits{.max_read_bytes = kMaxHeadBytes + config_.most_body + 4,
+  const net::Connection::Limits limits{.max_read_bytes = kMaxHeadBytes + config_.max_body_bytes + 4,
                                        .max_write_bytes = 4 << 20};
   client.connection = std::make_unique<net::Connection>(loop_, std::move(fd), *this, limits);
   client.connection->id = id;
@@ -124,7 +124,7 @@
     if (!is_evicted) with_pending_input.push_back(*candidate);
     // Limits the number of lingering connections, since each still holds its descriptor.
     const config::Limits& limits = config_.limits;
-    if (is_evicted && clients_.size() >= limits.sockets / 3 + limits.PartingSockets())
+    if (is_evicted && clients_.size() >= limits.sockets / 3 + limits.LingeringSockets())
       clients_.at(*candidate).connection->Close();
   }
   for (const std::uint64_t id : with_pending_input) idle_connections_.MarkIdle(id, net::Now());
@@ -162,7 +162,7 @@
   if (status < 0) return false;
   std::uint64_t length = 0;
   if (status == 0) RequestFraming(head, length, status);
-  if (status == 0 && length > config_.most_body) status = 413;
+  if (status == 0 && length > config_.max_body_bytes) status = 413;
   const std::string_view expect = status == 0 ? head.Field("Expect") : std::string_view();
   if (!expect.empty() && !EqualsIgnoreCase(expect, "100-continue")) status = 417;
   // The end of the request is unknown, or its body is not read: the connection is closed after the response.
@@ -225,8 +225,8 @@
   request.method = head.method;
   request.uri = target->Uri();
   request.body = body;
-  request.uses_signed_link = !settings.is_write && (route->access == config::Carrier::kLink ||
-                                                    route->access == config::Carrier::kEither);
+  request.uses_signed_link = !settings.is_write && (route->access == config::AccessMethod::kLink ||
+                                                    route->access == config::AccessMethod::kEither);
   const std::string_view connection = head.Field("Connection");
   for (const auto& [name, value] : head.fields) {
     if (!IsStrippedFromRequest(name, connection))
@@ -247,11 +247,11 @@
   return 0;
 }
 
-int DownstreamConnections::Authorize(config::Carrier access, const Head& head, const Target& target,
+int DownstreamConnections::Authorize(config::AccessMethod access, const Head& head, const Target& target,
                                      UnixTime now, std::string& fields) const {
-  using config::Carrier;
-  if (access == Carrier::kOpen) return 0;
-  if (access == Carrier::kLink || (access == Carrier::kEither && !target.package.empty())) {
+  using config::AccessMethod;
+  if (access == AccessMethod::kOpen) return 0;
+  if (access == AccessMethod::kLink || (access == AccessMethod::kEither && !target.package.empty())) {
     return verifier_.IsLinkValid(target, now) ? 0 : 403;
   }
   constexpr std::string_view kScheme = "Bearer ";
@@ -416,7 +416,7 @@
     if (connection.BytesSent() != std::exchange(client.last_bytes_sent, connection.BytesSent()))
       client.last_active_at = now;
     const bool is_stalled =
-        (connection.Backlog() > 0 && now - client.last_active_at > config_.stall) ||
+        (connection.Backlog() > 0 && now - client.last_active_at > config_.stall_timeout) ||
         (connection.IsLingering() &&
          now - client.last_active_at > (IsDraining(now) ? kDrainReadTimeout : kLingerTimeout));
     const bool is_active = client.open_request || connection.Backlog() > 0;
--- a/src/front/http/consul.cpp
+++ b/src/front/http/consul.cpp
@@ -43,7 +43,7 @@
 
 }  // namespace
 
-ConsulWatch::ConsulWatch(net::EventLoop& loop, const config::Http& config,
+ConsulWatch::ConsulWatch(net::EventLoop& loop, const config::Gateway& config,
                          const config::ConsulService& service, ChangeCallback on_change)
     : config_(config),
       service_(service),
--- a/src/front/http/consul.hpp
+++ b/src/front/http/consul.hpp
@@ -28,7 +28,7 @@
   /// Receives the changed nodes, removed ones included, and the index of the last health response. Called
   /// first when the catalog was received, also with no changes.
   using ChangeCallback = std::function<void(const std::vector<Node>& changes, std::uint64_t index)>;
-  ConsulWatch(net::EventLoop& loop, const config::Http& config, const config::ConsulService& service,
+  ConsulWatch(net::EventLoop& loop, const config::Gateway& config, const config::ConsulService& service,
               ChangeCallback on_change);
   /// Frees closed connections. Must be called once per round.
   void EndRound();
@@ -40,7 +40,7 @@
   void OnCatalog(const std::string& body);                      // throws Malformed
   void ReportChanges(bool from_catalog);
 
-  const config::Http& config_;
+  const config::Gateway& config_;
   const config::ConsulService& service_;
   ChangeCallback on_change_;
   std::uint64_t index_ = 0;
--- a/src/front/http/consul_query.cpp
+++ b/src/front/http/consul_query.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-ConsulQuery::ConsulQuery(net::EventLoop& loop, const config::Http& config, std::string name,
+ConsulQuery::ConsulQuery(net::EventLoop& loop, const config::Gateway& config, std::string name,
                          ResponseCallback on_response)
     : loop_(loop), config_(config), name_(std::move(name)), on_response_(std::move(on_response)) {}
 
--- a/src/front/http/consul_query.hpp
+++ b/src/front/http/consul_query.hpp
@@ -18,7 +18,7 @@
   /// Receives each response of status 200 once, with its X-Consul-Index (0: none). It may call Start. If it
   /// throws Malformed, the query is retried as after a failure.
   using ResponseCallback = std::function<void(std::uint64_t index, const std::string& body)>;
-  ConsulQuery(net::EventLoop& loop, const config::Http& config, std::string name,
+  ConsulQuery(net::EventLoop& loop, const config::Gateway& config, std::string name,
               ResponseCallback on_response);
   ~ConsulQuery();
   ConsulQuery(const ConsulQuery&) = delete;
@@ -43,7 +43,7 @@
   void CloseConnection();
 
   net::EventLoop& loop_;
-  const config::Http& config_;
+  const config::Gateway& config_;
   const std::string name_;
   ResponseCallback on_response_;
   std::unique_ptr<net::Connection> connection_;
--- a/src/front/http/http_front.cpp
+++ b/src/front/http/http_front.cpp
@@ -7,13 +7,13 @@
 namespace tinspan::http {
 namespace {
 
-AccessRules MakeAccessRules(const config::Http& config) {
-  return {config.origin, config.audience, config.leeway};
+AccessRules MakeAccessRules(const config::Gateway& config) {
+  return {config.origin, config.audience, config.clock_leeway};
 }
 
 }  // namespace
 
-KeySet ReadKeys(const config::Http& config, std::string_view json) {
+KeySet ReadKeys(const config::Gateway& config, std::string_view json) {
   try {
     return KeySet::FromJwks(json, "keys_file");
   } catch (const Malformed& error) {
@@ -21,7 +21,7 @@
   }
 }
 
-Key ReadSigningKey(const config::Http& config) {
+Key ReadSigningKey(const config::Gateway& config) {
   try {
     Key key = Key::FromJwk(config.signing_key, "signing_key_file");
     if (!key.CanSign()) throw Malformed{"signing_key_file.d", "a private key"};
@@ -31,8 +31,8 @@
   }
 }
 
-HttpFront::HttpFront(net::EventLoop& loop, const config::Http& config, core::RequestCoordinator& coordinator,
-                     std::vector<core::Event>& events)
+HttpFront::HttpFront(net::EventLoop& loop, const config::Gateway& config,
+                     core::RequestCoordinator& coordinator, std::vector<core::Event>& events)
     : config_(config),
       verifier_(ReadKeys(config, config.keys), MakeAccessRules(config)),
       signer_(ReadSigningKey(config), config.name, MakeAccessRules(config)),
--- a/src/front/http/http_front.hpp
+++ b/src/front/http/http_front.hpp
@@ -19,12 +19,12 @@
 class HttpFront final : public front::Front {
  public:
   /// Throws config::Error if the keys are invalid, and std::system_error if listening fails.
-  HttpFront(net::EventLoop& loop, const config::Http& config, core::RequestCoordinator& coordinator,
+  HttpFront(net::EventLoop& loop, const config::Gateway& config, core::RequestCoordinator& coordinator,
             std::vector<core::Event>& events);
 
   void Execute(net::Micros now, const core::Command& command) override;
   void EndRound(net::Micros now) override;
-  net::Micros LongestDeadline() const override { return config_.longest; }
+  net::Micros LongestDeadline() const override { return config_.longest_deadline; }
   void Drain(const core::DrainTimetable& timetable) override {
     if (attached_.on_drain) attached_.on_drain();
     service_.MarkStopping();
@@ -51,7 +51,7 @@
  private:
   void Complete(const core::CompleteRequest& completion);
 
-  const config::Http& config_;
+  const config::Gateway& config_;
   AccessVerifier verifier_;
   Signer signer_;
   DownstreamConnections downstream_;
@@ -65,8 +65,8 @@
 };
 
 /// Parses a JWK set. Throws config::Error if it is invalid.
-KeySet ReadKeys(const config::Http& config, std::string_view json);
+KeySet ReadKeys(const config::Gateway& config, std::string_view json);
 /// Parses the configured signing key. Throws config::Error if it is invalid or has no private part.
-Key ReadSigningKey(const config::Http& config);
+Key ReadSigningKey(const config::Gateway& config);
 
 }  // namespace tinspan::http
--- a/src/front/http/upstream.cpp
+++ b/src/front/http/upstream.cpp
@@ -12,10 +12,10 @@
 // Reading from a server pauses while more bytes than this wait for its client, and resumes at half of it.
 constexpr std::size_t kReadPauseBacklogBytes = 256 << 10;
 
-net::ConnectionPoolOptions PoolOptions(const config::Http& config) {
+net::ConnectionPoolOptions PoolOptions(const config::Gateway& config) {
   net::ConnectionPoolOptions options;
   options.connect_timeout = config.connect_timeout;
-  options.idle_timeout = config.idle_close * 3 / 4;
+  options.idle_timeout = config.idle_timeout * 3 / 4;
   options.max_streams = 1;
   options.limits = {.max_read_bytes = 64 << 10, .max_write_bytes = 2 << 20};
   return options;
@@ -56,7 +56,7 @@
 
 }  // namespace
 
-UpstreamConnections::UpstreamConnections(net::EventLoop& loop, const config::Http& config,
+UpstreamConnections::UpstreamConnections(net::EventLoop& loop, const config::Gateway& config,
                                          core::RequestCoordinator& coordinator,
                                          DownstreamConnections& downstream, const Signer& signer,
                                          std::vector<core::Event>& events)
@@ -313,7 +313,7 @@
         ProcessInput(pooled);
       }
     } else if (state.is_in_use && state.has_response_head && !pooled.connection.IsClosed() &&
-               now - pooled.connection.LastActivityAt() > config_.stall) {
+               now - pooled.connection.LastActivityAt() > config_.stall_timeout) {
       pooled.connection.Close();  // the response has stalled
       FailExchange(pooled, Outcome::kReset);
     }
--- a/src/front/http/upstream.hpp
+++ b/src/front/http/upstream.hpp
@@ -46,9 +46,9 @@
   using Pool = net::ConnectionPool<UpstreamConnectionState>;
   using PooledConnection = Pool::PooledConnection;
 
-  UpstreamConnections(net::EventLoop& loop, const config::Http& config, core::RequestCoordinator& coordinator,
-                      DownstreamConnections& downstream, const Signer& signer,
-                      std::vector<core::Event>& events);
+  UpstreamConnections(net::EventLoop& loop, const config::Gateway& config,
+                      core::RequestCoordinator& coordinator, DownstreamConnections& downstream,
+                      const Signer& signer, std::vector<core::Event>& events);
 
   /// Name and address of a server.
   struct ServerAddress {
@@ -96,7 +96,7 @@
   // Completes the attempt with a failure and closes the connection.
   void FailExchange(PooledConnection& pooled, Outcome outcome);
 
-  const config::Http& config_;
+  const config::Gateway& config_;
   core::RequestCoordinator& coordinator_;
   DownstreamConnections& downstream_;
   const Signer& signer_;
--- a/src/front/ops/admin_listener.hpp
+++ b/src/front/ops/admin_listener.hpp
@@ -22,7 +22,7 @@
  public:
   /// Returns the current statistics.
   using StatsProvider = std::function<ops::Statistics()>;
-  static constexpr std::size_t kMaxCallers = 8;  // within config::Limits::kKept
+  static constexpr std::size_t kMaxCallers = 8;  // within config::Limits::kReservedDescriptors
   static constexpr net::Micros kIdleTimeout{10'000'000};
 
   /// Throws std::system_error if the address cannot be bound. `service` and `views` must outlive the
--- a/src/front/platform/downstream_connections.cpp
+++ b/src/front/platform/downstream_connections.cpp
@@ -310,7 +310,7 @@
 // Closes lingering clients that have closed their side or whose linger timeout has expired. The number of
 // lingering clients is bounded, since each holds a descriptor; the oldest are closed first.
 void DownstreamConnections::CloseLingeringClients(Micros now) {
-  const std::size_t max_lingering = config_.limits.PartingSockets();
+  const std::size_t max_lingering = config_.limits.LingeringSockets();
   std::size_t excess = lingering_.size() > max_lingering ? lingering_.size() - max_lingering : 0;
   std::erase_if(lingering_, [&](const LingeringClient& lingering) {
     const auto found = clients_.find(lingering.id);
--- a/src/front/platform/endpoint_watcher.cpp
+++ b/src/front/platform/endpoint_watcher.cpp
@@ -32,7 +32,7 @@
                                  UpstreamConnections& upstream, std::vector<core::Event>& events)
     : loop_(loop),
       config_(config),
-      address_(config.changelog),
+      address_(config.watch_address),
       upstream_(upstream),
       events_(events),
       parser_(config.site),
@@ -44,14 +44,14 @@
 EndpointWatcher::~EndpointWatcher() { loop_.Timers().Cancel(timer_); }
 
 void EndpointWatcher::ApplyConfiguredEvents() {
-  for (const std::string& json : config_.known) {
+  for (const std::string& json : config_.initial_events) {
     try {
       Apply(json);
     } catch (const Malformed& error) {
       throw config::Error("known.results: " + error.field + ": expected " + error.expected);
     }
   }
-  last_sequence_ = std::max(last_sequence_, config_.known_seq);
+  last_sequence_ = std::max(last_sequence_, config_.initial_sequence);
 }
 
 void EndpointWatcher::Follow(const net::Endpoint& address) {
--- a/src/front/platform/platform_front.cpp
+++ b/src/front/platform/platform_front.cpp
@@ -51,7 +51,7 @@
       loop_(loop),
       coordinator_(coordinator),
       site_(config.site),
-      longest_deadline_(config.longest),
+      longest_deadline_(config.longest_deadline),
       downstream_(loop, config, coordinator, events),
       upstream_(loop, config, coordinator, downstream_, events),
       endpoint_watcher_(loop, config, upstream_, events) {
@@ -158,8 +158,8 @@
     const std::vector<std::string> added = reloaded.added;
     const std::vector<std::string> dropped = reloaded.dropped;
     if (reloaded.changed) ApplySettings(std::move(reloaded));
-    endpoint_watcher_.Follow(config.changelog);
-    longest_deadline_ = std::min(longest_deadline_, config.longest);
+    endpoint_watcher_.Follow(config.watch_address);
+    longest_deadline_ = std::min(longest_deadline_, config.longest_deadline);
     ++counters_.config_reloads;
     LogReload(added, dropped);
     return true;
--- a/src/front/platform/upstream_connections.cpp
+++ b/src/front/platform/upstream_connections.cpp
@@ -20,8 +20,8 @@
 net::ConnectionPoolOptions PoolOptions(const config::Platform& config) {
   net::ConnectionPoolOptions options;
   options.connect_timeout = config.connect_timeout;
-  options.idle_timeout = config.idle_close * 3 / 4;  // closes before the server does
-  options.max_streams = config.exchanges;
+  options.idle_timeout = config.idle_timeout * 3 / 4;  // closes before the server does
+  options.max_streams = config.max_streams_per_connection;
   options.preferred_streams = kPreferredStreams;
   options.max_connections = config.limits.ServerSockets();
   options.limits = {.max_read_bytes = kMaxReadBytes,
--- a/src/lease/agent.cpp
+++ b/src/lease/agent.cpp
@@ -53,7 +53,7 @@
   return static_cast<std::uint64_t>(std::max<std::int64_t>(net::UnixNow().SinceEpoch().count() / 1000, 1));
 }
 
-Agent::Agent(net::EventLoop& loop, members::Node& members, AgentOptions options)
+Agent::Agent(net::EventLoop& loop, members::MembershipNode& members, AgentOptions options)
     : loop_(loop),
       members_(members),
       options_(std::move(options)),
--- a/src/lease/agent.hpp
+++ b/src/lease/agent.hpp
@@ -52,7 +52,7 @@
   using PurgeHandler = std::function<void(const Purge&)>;
 
   /// `loop` and `members` must outlive the agent.
-  Agent(net::EventLoop& loop, members::Node& members, AgentOptions options);
+  Agent(net::EventLoop& loop, members::MembershipNode& members, AgentOptions options);
   ~Agent();
   Agent(const Agent&) = delete;
   Agent& operator=(const Agent&) = delete;
@@ -101,7 +101,7 @@
   std::string RoleIn(const std::string& lease, const LeaseStatus& status) const;
 
   net::EventLoop& loop_;
-  members::Node& members_;
+  members::MembershipNode& members_;
   AgentOptions options_;
   bool is_started_ = false;  // this process has bound the port
   LeaseNode lease_node_;
--- a/src/members/message.hpp
+++ b/src/members/message.hpp
@@ -57,7 +57,8 @@
 // The response to a SyncReply; the message's updates are the sender's entries in the buckets that differ.
 struct SyncPush {};
 
-// Another module's message (src/lease). MembershipView ignores it; Node passes it to the payload handler.
+// Another module's message (src/lease). MembershipView ignores it; MembershipNode passes it to the payload
+// handler.
 struct Payload {
   std::string bytes;
 };
--- a/src/members/node.cpp
+++ b/src/members/node.cpp
@@ -105,7 +105,7 @@
 
 }  // namespace
 
-Node::Node(net::EventLoop& loop, NodeOptions options)
+MembershipNode::MembershipNode(net::EventLoop& loop, NodeOptions options)
     : loop_(loop),
       options_(std::move(options)),
       fd_(Bind(options_.listen, bound_)),
@@ -121,12 +121,12 @@
   WaitForPort();
 }
 
-Node::~Node() {
+MembershipNode::~MembershipNode() {
   if (timer_) loop_.Timers().Cancel(*timer_);
   if (fd_) loop_.Remove(handle_, fd_.Get());
 }
 
-void Node::OnReady(std::uint32_t) {
+void MembershipNode::OnReady(std::uint32_t) {
   const Micros now = SteadyNow();
   int received = 0;
   while (received < kMaxDatagramsPerRound && ReceiveDatagram(now)) ++received;
@@ -136,19 +136,21 @@
   ScheduleTick();
 }
 
-void Node::Leave() {
+void MembershipNode::Leave() {
   if (!fd_) return;
   view_->Leave(SteadyNow());
   ProcessOutput();
 }
 
-void Node::SetFailingServers(std::vector<std::uint64_t> servers) {
+void MembershipNode::SetFailingServers(std::vector<std::uint64_t> servers) {
   view_->SetFailingServers(std::move(servers));
 }
 
-void Node::SetLeaseClaims(std::vector<LeaseClaim> claims) { view_->SetLeaseClaims(std::move(claims)); }
+void MembershipNode::SetLeaseClaims(std::vector<LeaseClaim> claims) {
+  view_->SetLeaseClaims(std::move(claims));
+}
 
-bool Node::SendPayload(const std::string& member, std::string payload) {
+bool MembershipNode::SendPayload(const std::string& member, std::string payload) {
   const auto found = view_->Members().find(member);
   if (!fd_ || found == view_->Members().end() || payload.size() > kMaxPayloadBytes) return false;
   Datagram datagram;
@@ -160,7 +162,7 @@
   return true;
 }
 
-std::string Node::FormatMembers() const {
+std::string MembershipNode::FormatMembers() const {
   const Micros now = SteadyNow();
   const Member& self = view_->Self();
   std::string lines = FormatMember(self, now);
@@ -170,14 +172,14 @@
   return lines;
 }
 
-Micros Node::SteadyNow() { return net::Now(); }
+Micros MembershipNode::SteadyNow() { return net::Now(); }
 
-net::Endpoint Node::AdvertisedEndpoint() const {
+net::Endpoint MembershipNode::AdvertisedEndpoint() const {
   if (options_.advertise) return *options_.advertise;
   return fd_ ? bound_ : options_.listen;
 }
 
-std::unique_ptr<MembershipView> Node::MakeView() const {
+std::unique_ptr<MembershipView> MembershipNode::MakeView() const {
   Options view_options = options_.view;
   for (const net::Endpoint& seed : options_.seeds) view_options.seeds.push_back(ToAddress(seed));
   MemberUpdate self;
@@ -190,21 +192,21 @@
   return std::make_unique<MembershipView>(std::move(view_options), self, options_.random_seed, SteadyNow());
 }
 
-void Node::Start() {
+void MembershipNode::Start() {
   handle_ = loop_.Add(fd_.Get(), EPOLLIN, *this);
   log::Info("members.started", {{"address", bound_.Text()}, {"advertised", advertised_.Text()}},
             "members at {} advertised as {}, fleet {}", bound_.Text(), advertised_.Text(), options_.fleet);
   TickView();
 }
 
-void Node::WaitForPort() {
+void MembershipNode::WaitForPort() {
   timer_ = loop_.Timers().Set(net::Now() + kBindRetryInterval, [this](Micros) {
     timer_.reset();
     RetryBind();
   });
 }
 
-void Node::RetryBind() {
+void MembershipNode::RetryBind() {
   try {
     fd_ = Bind(options_.listen, bound_);
   } catch (const std::system_error& error) {
@@ -219,7 +221,7 @@
   Start();
 }
 
-bool Node::ReceiveDatagram(Micros now) {
+bool MembershipNode::ReceiveDatagram(Micros now) {
   std::array<char, kReceiveBufferBytes> buffer;  // left uninitialized
   // With MSG_TRUNC, recv returns the full size of a datagram that did not fit the buffer.
   ssize_t size = -1;
@@ -234,7 +236,7 @@
   return true;
 }
 
-void Node::ProcessDatagram(Micros now, std::string_view bytes, std::size_t full_size) {
+void MembershipNode::ProcessDatagram(Micros now, std::string_view bytes, std::size_t full_size) {
   if (full_size > options_.max_datagram_bytes) {
     CountRejected({DecodeFailure::kOversized, std::to_string(full_size) + " bytes"});
     return;
@@ -251,7 +253,7 @@
   view_->Receive(now, *message);
 }
 
-void Node::CountRejected(const DecodeError& error) {
+void MembershipNode::CountRejected(const DecodeError& error) {
   const std::uint64_t count = ++stats_.rejected[static_cast<std::size_t>(error.failure)];
   if (count != 1 && count % kRejectionLogPeriod != 0) return;
   const char* const reason = Name(error.failure);
@@ -259,18 +261,18 @@
             "members: datagram rejected ({}: {}), {} for this reason so far", reason, error.detail, count);
 }
 
-void Node::TickView() {
+void MembershipNode::TickView() {
   view_->Tick(SteadyNow());
   ProcessOutput();
   ScheduleTick();
 }
 
-void Node::ProcessOutput() {
+void MembershipNode::ProcessOutput() {
   for (const StateChange& change : view_->DrainChanges()) LogChange(change);
   for (const Datagram& datagram : view_->DrainMessages()) Send(datagram);
 }
 
-void Node::Send(const Datagram& datagram) {
+void MembershipNode::Send(const Datagram& datagram) {
   const std::string bytes = Encode(datagram.message, options_.fleet, options_.max_datagram_bytes);
   const sockaddr_in destination = ToEndpoint(datagram.destination).Socket();
   const ssize_t sent = ::sendto(fd_.Get(), bytes.data(), bytes.size(), MSG_DONTWAIT,
@@ -283,7 +285,7 @@
   stats_.bytes_out += bytes.size();
 }
 
-void Node::ScheduleTick() {
+void MembershipNode::ScheduleTick() {
   if (timer_) loop_.Timers().Cancel(*timer_);
   // Clamped, since a view without work returns Micros::max(), and adding to that would overflow.
   const Micros wait = std::clamp(view_->NextDeadline() - SteadyNow(), Micros{0}, kMaxTickInterval);
--- a/src/members/node.hpp
+++ b/src/members/node.hpp
@@ -56,7 +56,7 @@
   std::array<std::uint64_t, kDecodeFailureCount> rejected{};  // indexed by DecodeFailure
 };
 
-class Node final : public net::EventLoop::Sink {
+class MembershipNode final : public net::EventLoop::Sink {
  public:
   // Maximum number of datagrams received per round of the event loop.
   static constexpr int kMaxDatagramsPerRound = 256;
@@ -67,12 +67,12 @@
 
   // Binds the socket and starts the view. Where the address is in use, retries until it is free.
   // Throws std::system_error where binding fails for another reason. `loop` must outlive the node.
-  Node(net::EventLoop& loop, NodeOptions options);
-  ~Node();
-  Node(const Node&) = delete;
-  Node& operator=(const Node&) = delete;
-  Node(Node&&) = delete;
-  Node& operator=(Node&&) = delete;
+  MembershipNode(net::EventLoop& loop, NodeOptions options);
+  ~MembershipNode();
+  MembershipNode(const MembershipNode&) = delete;
+  MembershipNode& operator=(const MembershipNode&) = delete;
+  MembershipNode(MembershipNode&&) = delete;
+  MembershipNode& operator=(MembershipNode&&) = delete;
 
   void OnReady(std::uint32_t events) override;
 
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -45,7 +45,7 @@
 TEST(ConfigCheck, AcceptsAValidFile) {
   const auto config = tinspan::config::ParsePlatform(kValidConfig, "n0", "127.0.0.1:7001");
   EXPECT_EQ(config.site.classes.size(), 2u);
-  EXPECT_EQ(config.longest.count(), 3'000'000);
+  EXPECT_EQ(config.longest_deadline.count(), 3'000'000);
   EXPECT_FALSE(config.ops);
   const auto with_ops = tinspan::config::ParsePlatform(
       Replaced(kValidConfig, R"("seed")", R"("ops":"127.0.0.1:9100","seed")"), "n0", "127.0.0.1:7001");
