--- a/src/cli/init.cpp
+++ b/src/cli/init.cpp
@@ -11,7 +11,7 @@
 #include "cli/new_file.hpp"
 #include "config/config.hpp"
 #include "front/http/http_front.hpp"
-#include "front/http/new_key.hpp"
+#include "front/http/key_generation.hpp"
 
 extern const std::string_view kExampleGateway;  // deploy/gateway.json
 
--- a/src/cli/keys.cpp
+++ b/src/cli/keys.cpp
@@ -8,7 +8,7 @@
 #include "cli/new_file.hpp"
 #include "config/config.hpp"
 #include "front/http/access.hpp"
-#include "front/http/new_key.hpp"
+#include "front/http/key_generation.hpp"
 
 namespace tinspan::cli {
 namespace {
@@ -111,7 +111,7 @@
 
 int RunKeysPublic(const Values&, const std::vector<std::string>& arguments) {
   try {
-    std::cout << http::PublicPart(config::ReadFile("FILE", arguments[0]), arguments[0]) << "\n";
+    std::cout << http::PublicJwks(config::ReadFile("FILE", arguments[0]), arguments[0]) << "\n";
   } catch (const Malformed& malformed) {
     ThrowMalformed(malformed);
   }
@@ -120,8 +120,8 @@
 
 int RunKeysLink(const Values& values, const std::vector<std::string>& arguments) {
   const SigningContext signing = PrepareSigning(values);
-  const auto target = http::ReadTarget(arguments[0]);
-  if (!target || !target->package.empty()) {
+  const auto target = http::ParseTarget(arguments[0]);
+  if (!target || !target->signed_jwt.empty()) {
     throw Usage{"TARGET: expected an unambiguous path and query without a signature, such as /scans/a/b.jpg"};
   }
   std::cout << signing.signer.Link(target->Uri(), net::UnixNow(), signing.expires_at) << "\n";
--- a/src/console/remote.cpp
+++ b/src/console/remote.cpp
@@ -39,7 +39,7 @@
 void Remote::OnData(net::Connection& connection) {
   const std::string_view unread = connection.Unread();
   http::Head head;
-  const int status = http::ReadResponse(unread, head);
+  const int status = http::ParseResponseHead(unread, head);
   if (status < 0) return;
   std::uint64_t length = 0;
   const auto framing = status == 0 ? http::ResponseFraming(head, false, length) : std::nullopt;
@@ -58,7 +58,7 @@
   std::from_chars(next.data(), next.data() + next.size(), offset);
   ReadSegmentBytes(unread.substr(head.length, length));
   offset_ = offset;
-  const bool should_close = http::HasToken(head.Field("Connection"), "close");
+  const bool should_close = http::ListContainsToken(head.Field("Connection"), "close");
   connection.Consume(head.length + length);
   if (should_close) {
     connection.Close();
--- a/src/front/http/access.cpp
+++ b/src/front/http/access.cpp
@@ -93,7 +93,7 @@
 std::string HashContainer(std::string_view uri) { return "hash:sha-256;" + Base64Url(Sha256(uri)); }
 
 bool AccessVerifier::IsLinkValid(const Target& target, UnixTime now) const {
-  const auto payload = keys_.Verify(target.package);
+  const auto payload = keys_.Verify(target.signed_jwt);
   simdjson::dom::parser parser;
   element claims;
   if (!payload || parser.parse(simdjson::padded_string(*payload)).get(claims) != simdjson::SUCCESS ||
--- a/src/front/http/consul_query.cpp
+++ b/src/front/http/consul_query.cpp
@@ -43,18 +43,18 @@
   if (IsIdle()) return CloseConnection();  // unsolicited bytes
   Response response;
   std::size_t expected_bytes = 0;
-  const Taken result = TakeResponse(connection.Unread(), response, expected_bytes);
+  const ParseResult result = ParseResponse(connection.Unread(), response, expected_bytes);
   if (expected_bytes > 0) connection.ExpectMessage(expected_bytes);
-  if (result == Taken::kMore) return;
-  if (result == Taken::kUnreadable) return Fail("the response cannot be read");
+  if (result == ParseResult::kIncomplete) return;
+  if (result == ParseResult::kMalformed) return Fail("the response cannot be read");
   loop_.Timers().Cancel(timer_);
   const std::string path = std::exchange(path_, {});
   try {
     if (response.status != 200) throw Malformed{"status", "200, not " + std::to_string(response.status)};
     // Done first, because the callback may start the next query on this connection.
     connection.Consume(response.length);
-    if (!response.keep) CloseConnection();
-    on_response_(response.index, response.body);
+    if (!response.can_reuse_connection) CloseConnection();
+    on_response_(response.consul_index, response.body);
     consecutive_failures_ = 0;
   } catch (const Malformed& error) {
     if (path_.empty()) path_ = path;
--- a/src/front/http/consul.cpp
+++ b/src/front/http/consul_watch.cpp
@@ -1,4 +1,4 @@
-#include "front/http/consul.hpp"
+#include "front/http/consul_watch.hpp"
 
 #include <simdjson.h>
 
--- a/src/front/http/clients.cpp
+++ b/src/front/http/downstream_connections.cpp
@@ -1,4 +1,4 @@
-#include "front/http/clients.hpp"
+#include "front/http/downstream_connections.hpp"
 
 #include <simdjson.h>
 
@@ -74,7 +74,7 @@
       "Expect",  "Via",        "Cache-Control"};
   return std::any_of(kNames.begin(), kNames.end(),
                      [&](auto& stripped) { return EqualsIgnoreCase(stripped, name); }) ||
-         EqualsIgnoreCase(name, "Tinspan-Fill") || HasToken(connection, name);
+         EqualsIgnoreCase(name, "Tinspan-Fill") || ListContainsToken(connection, name);
 }
 
 }  // namespace
@@ -158,7 +158,7 @@
   const std::string_view unread = client.connection->Unread();
   if (unread.empty()) return false;
   Head head;
-  int status = ReadRequest(unread, head);
+  int status = ParseRequestHead(unread, head);
   if (status < 0) return false;
   std::uint64_t length = 0;
   if (status == 0) RequestFraming(head, length, status);
@@ -180,7 +180,7 @@
     return false;
   }
   client.has_sent_continue = false;
-  client.close_after_response = HasToken(head.Field("Connection"), "close");
+  client.close_after_response = ListContainsToken(head.Field("Connection"), "close");
   std::string fields;
   status = HandleRequest(client, head, unread.substr(head.length, length), fields);
   client.connection->Consume(head.length + length);
@@ -198,7 +198,7 @@
     if (text.substr(scheme.size(), slash - scheme.size()) != head.Field("Host")) return 400;
     text = slash == std::string_view::npos ? "/" : text.substr(slash);
   }
-  const auto target = ReadTarget(text);
+  const auto target = ParseTarget(text);
   if (!target || head.FieldCount("Authorization") > 1) return 400;
   if (target->path.starts_with(kOperatorPrefix)) return HandleOperatorRequest(head, *target, body, fields);
   if (!EqualsIgnoreCase(head.Field("Host"), config_.authority)) return 421;
@@ -251,7 +251,7 @@
                                      UnixTime now, std::string& fields) const {
   using config::AccessMethod;
   if (access == AccessMethod::kOpen) return 0;
-  if (access == AccessMethod::kLink || (access == AccessMethod::kEither && !target.package.empty())) {
+  if (access == AccessMethod::kLink || (access == AccessMethod::kEither && !target.signed_jwt.empty())) {
     return verifier_.IsLinkValid(target, now) ? 0 : 403;
   }
   constexpr std::string_view kScheme = "Bearer ";
@@ -286,7 +286,7 @@
   core::PurgeReceived purge;
   purge.purged_at = net::Now();
   if (json["object"].get(text) == simdjson::SUCCESS) {
-    const auto object = ReadTarget(text);
+    const auto object = ParseTarget(text);
     if (!object) return 400;
     purge.object = ObjectIdOf(object->Uri());
   } else if (json["group"].get(text) == simdjson::SUCCESS && !text.empty()) {
--- a/src/front/http/http1.cpp
+++ b/src/front/http/http1.cpp
@@ -68,7 +68,7 @@
       [](char left_octet, char right_octet) { return Lower(left_octet) == Lower(right_octet); });
 }
 
-bool HasToken(std::string_view list, std::string_view token) {
+bool ListContainsToken(std::string_view list, std::string_view token) {
   while (!list.empty()) {
     const std::size_t comma = list.find(',');
     if (EqualsIgnoreCase(Trimmed(list.substr(0, comma)), token)) return true;
@@ -88,7 +88,7 @@
       fields.begin(), fields.end(), [&](auto& field) { return EqualsIgnoreCase(field.first, name); }));
 }
 
-int ReadRequest(std::string_view buffer, Head& out) {
+int ParseRequestHead(std::string_view buffer, Head& out) {
   std::size_t end = 0;
   if (const int status = FindHeadEnd(buffer, end)) return status;
   const std::size_t line_end = buffer.find("\r\n");
@@ -110,7 +110,7 @@
   return 0;
 }
 
-int ReadResponse(std::string_view buffer, Head& out) {
+int ParseResponseHead(std::string_view buffer, Head& out) {
   std::size_t end = 0;
   if (const int status = FindHeadEnd(buffer, end)) return status;
   const std::size_t line_end = buffer.find("\r\n");
@@ -238,31 +238,31 @@
   }
 }
 
-Taken TakeResponse(std::string_view buffer, Response& out, std::size_t& expect) {
+ParseResult ParseResponse(std::string_view buffer, Response& out, std::size_t& expect) {
   expect = 0;
   Head head;
-  const int error_status = ReadResponse(buffer, head);
-  if (error_status < 0) return Taken::kMore;
+  const int error_status = ParseResponseHead(buffer, head);
+  if (error_status < 0) return ParseResult::kIncomplete;
   std::uint64_t length = 0;
   const auto framing = error_status == 0 ? ResponseFraming(head, false, length) : std::nullopt;
-  if (!framing) return Taken::kUnreadable;
+  if (!framing) return ParseResult::kMalformed;
   BodyReader reader;
   reader.Start(*framing, length);
   const auto body_bytes = reader.Advance(buffer.substr(head.length));
-  if (!body_bytes) return Taken::kUnreadable;
+  if (!body_bytes) return ParseResult::kMalformed;
   if (!reader.IsComplete()) {
     if (*framing == BodyReader::Framing::kLength) expect = head.length + length;
-    return Taken::kMore;
+    return ParseResult::kIncomplete;
   }
   const std::string_view raw = buffer.substr(head.length, *body_bytes);
   out.status = head.status;
   out.body = *framing == BodyReader::Framing::kChunked ? DecodeChunked(raw) : std::string(raw);
-  out.keep = !HasToken(head.Field("Connection"), "close");
+  out.can_reuse_connection = !ListContainsToken(head.Field("Connection"), "close");
   out.length = head.length + *body_bytes;
   const std::string_view index = head.Field("X-Consul-Index");
-  out.index = 0;
-  std::from_chars(index.data(), index.data() + index.size(), out.index);
-  return Taken::kComplete;
+  out.consul_index = 0;
+  std::from_chars(index.data(), index.data() + index.size(), out.consul_index);
+  return ParseResult::kComplete;
 }
 
 }  // namespace tinspan::http
--- a/src/front/http/http1.hpp
+++ b/src/front/http/http1.hpp
@@ -30,15 +30,15 @@
 
 /// Parses the head of a request. Returns 0 on success, -1 if more bytes are needed, else the status of the
 /// response that rejects the request.
-int ReadRequest(std::string_view buffer, Head& out);
+int ParseRequestHead(std::string_view buffer, Head& out);
 /// Parses the head of a response. Returns 0 on success, -1 if more bytes are needed, and a positive number if
 /// it is malformed.
-int ReadResponse(std::string_view buffer, Head& out);
+int ParseResponseHead(std::string_view buffer, Head& out);
 
 /// Compares without regard to the case of ASCII letters.
 bool EqualsIgnoreCase(std::string_view left, std::string_view right);
 /// Whether a comma-separated list contains the token, without regard to case.
-bool HasToken(std::string_view list, std::string_view token);
+bool ListContainsToken(std::string_view list, std::string_view token);
 
 /// Finds the end of a message body.
 class BodyReader {
@@ -89,14 +89,14 @@
 /// A response with its complete body.
 struct Response {
   int status = 0;
-  std::uint64_t index = 0;  // X-Consul-Index; 0: none
-  std::string body;         // without its framing
-  bool keep = false;        // the connection is persistent and may be reused
-  std::size_t length = 0;   // bytes of head and body in the buffer
+  std::uint64_t consul_index = 0;     // X-Consul-Index; 0: none
+  std::string body;                   // without its framing
+  bool can_reuse_connection = false;  // the connection is persistent and may be reused
+  std::size_t length = 0;             // bytes of head and body in the buffer
 };
-enum class Taken { kMore, kComplete, kUnreadable };
+enum class ParseResult { kIncomplete, kComplete, kMalformed };
 /// Parses a complete response. If more bytes are needed, `expect` is set to the total length of the response
 /// if it is known, else to 0.
-Taken TakeResponse(std::string_view buffer, Response& out, std::size_t& expect);
+ParseResult ParseResponse(std::string_view buffer, Response& out, std::size_t& expect);
 
 }  // namespace tinspan::http
--- a/src/front/http/http_front.hpp
+++ b/src/front/http/http_front.hpp
@@ -6,9 +6,9 @@
 #include <vector>
 
 #include "front/http/access.hpp"
-#include "front/http/clients.hpp"
-#include "front/http/consul.hpp"
-#include "front/http/upstream.hpp"
+#include "front/http/consul_watch.hpp"
+#include "front/http/downstream_connections.hpp"
+#include "front/http/upstream_connections.hpp"
 #include "front/ops/admin_listener.hpp"
 #include "front/runner.hpp"
 
--- a/src/front/http/new_key.cpp
+++ b/src/front/http/key_generation.cpp
@@ -1,4 +1,4 @@
-#include "front/http/new_key.hpp"
+#include "front/http/key_generation.hpp"
 
 #include <openssl/bn.h>
 #include <openssl/core_names.h>
@@ -65,7 +65,7 @@
   return key.dump();
 }
 
-std::string PublicPart(std::string_view json, const std::string& path) {
+std::string PublicJwks(std::string_view json, const std::string& path) {
   const Json parsed = Json::parse(json, nullptr, false);
   if (!parsed.is_object()) throw Malformed{path, "a JWK or a JWK set"};
   if (!parsed.contains("keys")) return PublicJwk(parsed, path).dump();
--- a/src/front/http/new_key.hpp
+++ b/src/front/http/key_generation.hpp
@@ -14,6 +14,6 @@
 
 /// Returns a JWK or a JWK set without private members. Throws Malformed, with `path` as prefix of the member,
 /// if it is invalid or contains an `oct` key: a shared secret has no public part.
-std::string PublicPart(std::string_view json, const std::string& path);
+std::string PublicJwks(std::string_view json, const std::string& path);
 
 }  // namespace tinspan::http
--- a/src/front/http/upstream.cpp
+++ b/src/front/http/upstream_connections.cpp
@@ -1,4 +1,4 @@
-#include "front/http/upstream.hpp"
+#include "front/http/upstream_connections.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -51,7 +51,7 @@
                                           "Proxy-Authenticate", "Upgrade", "WWW-Authenticate"}) {
     if (EqualsIgnoreCase(stripped, name)) return true;
   }
-  return HasToken(connection, name);
+  return ListContainsToken(connection, name);
 }
 
 }  // namespace
@@ -236,7 +236,7 @@
 bool UpstreamConnections::ReadResponseHead(PooledConnection& pooled) {
   UpstreamConnectionState& state = pooled.state;
   Head head;
-  const int status = ReadResponse(pooled.connection.Unread(), head);
+  const int status = ParseResponseHead(pooled.connection.Unread(), head);
   if (status < 0) return false;
   if (status > 0) {
     FailExchange(pooled, Outcome::kError);
@@ -257,7 +257,7 @@
   }
   state.has_response_head = true;
   const std::string_view connection = head.Field("Connection");
-  state.can_reuse = !HasToken(connection, "close");
+  state.can_reuse = !ListContainsToken(connection, "close");
   state.body.Start(*framing, length);
   state.fill_note = FillNoteOf(head.Field("Cache-Status"));
   PendingRequest* const request = downstream_.Find(state.request_id);
--- a/src/front/http/upstream.hpp
+++ b/src/front/http/upstream_connections.hpp
@@ -14,7 +14,7 @@
 #include "config/config.hpp"
 #include "core/request_coordinator.hpp"
 #include "front/http/access.hpp"
-#include "front/http/clients.hpp"
+#include "front/http/downstream_connections.hpp"
 #include "front/http/http1.hpp"
 #include "front/upstream_failure_log.hpp"
 #include "net/connection_pool.hpp"
--- a/src/front/http/uri.cpp
+++ b/src/front/http/uri.cpp
@@ -72,7 +72,7 @@
 
 }  // namespace
 
-std::optional<Target> ReadTarget(std::string_view text) {
+std::optional<Target> ParseTarget(std::string_view text) {
   if (text.empty() || text.front() != '/') return std::nullopt;
   const std::size_t query_mark = text.find('?');
   const auto path = Normalize(text.substr(0, query_mark), true);
@@ -89,7 +89,7 @@
     position = end + 1;
     if (pair.substr(0, pair.find('=')) == kPackageParameter) {
       if (std::exchange(has_package, true)) return std::nullopt;
-      if (pair.size() > kPackageParameter.size()) out.package = pair.substr(kPackageParameter.size() + 1);
+      if (pair.size() > kPackageParameter.size()) out.signed_jwt = pair.substr(kPackageParameter.size() + 1);
     } else if (!pair.empty() || position <= query->size()) {
       out.query.append(out.query.empty() ? "" : "&").append(pair);
     }
--- a/src/lease/kv_store.cpp
+++ b/src/lease/kv_store.cpp
@@ -117,14 +117,14 @@
   }
   http::Response response;
   std::size_t expect = 0;
-  const http::Taken taken = http::TakeResponse(connection.Unread(), response, expect);
-  if (taken == http::Taken::kMore) return;
-  if (taken == http::Taken::kUnreadable) {
+  const http::ParseResult result = http::ParseResponse(connection.Unread(), response, expect);
+  if (result == http::ParseResult::kIncomplete) return;
+  if (result == http::ParseResult::kMalformed) {
     Fail(StoreError::Code::kUnreadableResponse, "unreadable response");
     return;
   }
   connection.Consume(response.length);
-  if (!response.keep) CloseConnection();
+  if (!response.can_reuse_connection) CloseConnection();
   Finish(ReadResponse(response.status, response.body));
 }
 
--- a/tests/jws_test.cpp
+++ b/tests/jws_test.cpp
@@ -41,13 +41,13 @@
 // Guards against verifying one URI and routing another: equivalent targets have one form, and ambiguous ones
 // are rejected.
 TEST(Uri, HasOneCanonicalForm) {
-  const auto target = ReadTarget("/a/./b/%7euser/../%c3%b6?x=1&URISigningPackage=t.t.t&y=%2f");
+  const auto target = ParseTarget("/a/./b/%7euser/../%c3%b6?x=1&URISigningPackage=t.t.t&y=%2f");
   ASSERT_TRUE(target);
   EXPECT_EQ(target->Uri(), "/a/b/%C3%B6?x=1&y=%2F");
-  EXPECT_EQ(target->package, "t.t.t");
-  EXPECT_EQ(ReadTarget("/a/../../..")->path, "/");
+  EXPECT_EQ(target->signed_jwt, "t.t.t");
+  EXPECT_EQ(ParseTarget("/a/../../..")->path, "/");
   for (const char* bad : {"a", "/%", "/%2", "/%zz", "/a%2fb", "/a%5Cb", "/%00", "/a b", "/a#b", "/a\\b"}) {
-    EXPECT_FALSE(ReadTarget(bad)) << bad;
+    EXPECT_FALSE(ParseTarget(bad)) << bad;
   }
 }
 
