--- a/src/cli/door.cpp
+++ b/src/cli/admin_client.cpp
@@ -1,4 +1,4 @@
-#include "cli/door.hpp"
+#include "cli/admin_client.hpp"
 
 #include <poll.h>
 #include <sys/socket.h>
@@ -23,7 +23,7 @@
 std::string Query(const std::string& admin_address, const std::string& call) {
   const auto endpoint = net::Endpoint::Parse(admin_address);
   if (!endpoint)
-    throw Usage{"option '--door': expected an address like 127.0.0.1:9100, not '" + admin_address + "'"};
+    throw UsageError{"option '--door': expected an address like 127.0.0.1:9100, not '" + admin_address + "'"};
   const net::Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   const sockaddr_in address = endpoint->Socket();
   if (!fd || ::connect(fd.Get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) {
--- a/src/cli/cli.cpp
+++ b/src/cli/cli.cpp
@@ -4,9 +4,9 @@
 #include <array>
 #include <iostream>
 
+#include "cli/admin_client.hpp"
 #include "cli/command.hpp"
 #include "cli/console.hpp"
-#include "cli/door.hpp"
 #include "cli/init.hpp"
 #include "cli/keys.hpp"
 #include "cli/records.hpp"
@@ -55,7 +55,7 @@
             "print records as JSON lines; unreadable parts are reported on standard error",
             "tinspan records cat --kind trace --class orders gateway/records\n"
             "tinspan records cat --from 2026-12-01T14:03:00Z --server n1/c gateway/records\n",
-            1, kMaxArguments, DescribeRecordsCat, RunRecordsCat},
+            1, kMaxArguments, AddRecordsCatOptions, RunRecordsCat},
     Command{"records verify", "DIR...",
             "report unreadable parts with file and offset; exits with 1 if there are any",
             "tinspan records verify gateway/records\n", 1, kMaxArguments, AddNoOptions, RunRecordsVerify},
@@ -63,12 +63,12 @@
             "report what happened from the records in these folders, as an HTML page or as JSON",
             "tinspan report north/records south/records -o report.html\n"
             "tinspan report --around 2026-12-01T14:03:00Z --format json gateway/records\n",
-            1, kMaxArguments, DescribeReport, RunReport},
+            1, kMaxArguments, AddReportOptions, RunReport},
     Command{"console", "[DIR...]", "show a fleet live in the terminal, from records or from running gateways",
             "tinspan console gateway/records\n"
             "tinspan console --from http://127.0.0.1:8080 --token-file gateway/operator.token\n"
             "tinspan console --once --at 2026-12-01T14:03:00Z gateway/records\n",
-            0, kMaxArguments, DescribeConsole, RunConsole},
+            0, kMaxArguments, AddConsoleOptions, RunConsole},
     Command{"members", "", "show the fleet view of a running instance, through its admin listener",
             "tinspan members --door 127.0.0.1:9100\ntinspan members --door 127.0.0.1:9100 --raw\n", 0, 0,
             AddAdminOptions, RunMembers},
@@ -128,8 +128,8 @@
     if (std::string_view(candidate.name).starts_with(words[0] + " "))
       names.append(" '").append(candidate.name).append("'");
   }
-  if (!names.empty()) throw Usage{"'" + words[0] + "' alone is no command; expected one of" + names};
-  throw Usage{"'" + words[0] + "' is no command; 'tinspan help' lists them"};
+  if (!names.empty()) throw UsageError{"'" + words[0] + "' alone is no command; expected one of" + names};
+  throw UsageError{"'" + words[0] + "' is no command; 'tinspan help' lists them"};
 }
 
 int RunHelp(const Values&, const std::vector<std::string>& arguments) {
@@ -140,7 +140,7 @@
   std::size_t used = 0;
   const Command* const command = FindCommand(arguments, used);
   if (command == nullptr) ThrowUnknownCommand(arguments);
-  if (used < arguments.size()) throw Usage{"stray argument '" + arguments[used] + "'"};
+  if (used < arguments.size()) throw UsageError{"stray argument '" + arguments[used] + "'"};
   PrintHelp(*command);
   return 0;
 }
@@ -162,7 +162,7 @@
               values);
     po::notify(values);
   } catch (const po::error& error) {
-    throw Usage{error.what()};
+    throw UsageError{error.what()};
   }
   if (values.count("help") > 0) {
     PrintHelp(command);
@@ -171,10 +171,10 @@
   std::vector<std::string> arguments;
   if (values.count("argument") > 0) arguments = values["argument"].as<std::vector<std::string>>();
   if (arguments.size() > command.max_arguments) {
-    throw Usage{"stray argument '" + arguments[command.max_arguments] + "'"};
+    throw UsageError{"stray argument '" + arguments[command.max_arguments] + "'"};
   }
   if (arguments.size() < command.min_arguments) {
-    throw Usage{std::string("expected ") + command.arguments};
+    throw UsageError{std::string("expected ") + command.arguments};
   }
   return command.run(values, arguments);
 }
@@ -198,10 +198,11 @@
   const auto format = values["log-format"].as<std::string>();
   const auto level = values["log-level"].as<std::string>();
   if (format != "text" && format != "json") {
-    throw Usage{"option '--log-format': expected text or json, not '" + format + "'"};
+    throw UsageError{"option '--log-format': expected text or json, not '" + format + "'"};
   }
   if (!log::Start(format == "json" ? log::Format::kJson : log::Format::kText, level)) {
-    throw Usage{"option '--log-level': expected trace, debug, info, warn, error or off, not '" + level + "'"};
+    throw UsageError{"option '--log-level': expected trace, debug, info, warn, error or off, not '" + level +
+                     "'"};
   }
 }
 
@@ -220,7 +221,7 @@
     if (command == nullptr) ThrowUnknownCommand(words);
     words.erase(words.begin(), words.begin() + static_cast<std::ptrdiff_t>(used));
     return Run(*command, words);
-  } catch (const Usage& error) {
+  } catch (const UsageError& error) {
     std::cerr << "tinspan" << (command == nullptr ? "" : " ") << (command == nullptr ? "" : command->name)
               << ": " << error.message << "\n";
     if (command != nullptr) std::cerr << "Run 'tinspan help " << command->name << "' for details.\n";
--- a/src/cli/command.hpp
+++ b/src/cli/command.hpp
@@ -13,7 +13,7 @@
 using Values = boost::program_options::variables_map;
 
 /// Thrown for an invalid command line. Main writes the message to standard error and returns 2.
-struct Usage {
+struct UsageError {
   std::string message;
 };
 
@@ -25,14 +25,15 @@
   std::size_t min_arguments;
   std::size_t max_arguments;
   void (*add_options)(Options& options);
-  // Returns the exit status: 0 done, 1 failed. Throws Usage, or an exception derived from std::exception.
+  // Returns the exit status: 0 done, 1 failed. Throws UsageError, or an exception derived from
+  // std::exception.
   int (*run)(const Values& values, const std::vector<std::string>& arguments);
 };
 
 /// Options that several commands share.
 void AddLogOptions(Options& options);
 void AddFileOptions(Options& options);
-/// Starts the log as the options of AddLogOptions say. Throws Usage if one of them is invalid.
+/// Starts the log as the options of AddLogOptions say. Throws UsageError if one of them is invalid.
 void StartLog(const Values& values);
 
 }  // namespace tinspan::cli
--- a/src/cli/console.cpp
+++ b/src/cli/console.cpp
@@ -30,7 +30,7 @@
     if (!folders.empty()) folders_ = std::make_unique<record::FolderReader>(folders);
     if (values.count("from") == 0) return;
     if (values.count("token-file") == 0)
-      throw Usage{"option '--from': expected with --token-file, the operator's token"};
+      throw UsageError{"option '--from': expected with --token-file, the operator's token"};
     std::string token = config::ReadFile("--token-file", values["token-file"].as<std::string>());
     while (!token.empty() && (token.back() == '\n' || token.back() == '\r' || token.back() == ' '))
       token.pop_back();
@@ -40,8 +40,9 @@
                                 ? net::Endpoint::Parse(std::string_view(url).substr(kScheme.size()))
                                 : std::nullopt;
       if (!endpoint)
-        throw Usage{"option '--from': expected http:// and an address such as http://127.0.0.1:8080, not '" +
-                    url + "'"};
+        throw UsageError{
+            "option '--from': expected http:// and an address such as http://127.0.0.1:8080, not '" + url +
+            "'"};
       remotes_.push_back(std::make_unique<console::Remote>(loop_, *endpoint, token, timelines));
     }
   }
@@ -168,7 +169,7 @@
 
 }  // namespace
 
-void DescribeConsole(Options& options) {
+void AddConsoleOptions(Options& options) {
   options.add_options()("from", po::value<std::vector<std::string>>()->value_name("URL"),
                         "a running gateway, such as http://127.0.0.1:8080; may be given several times")(
       "token-file", po::value<std::string>()->value_name("FILE"), "the operator's token, for --from")(
@@ -179,7 +180,7 @@
 }
 
 int RunConsole(const Values& values, const std::vector<std::string>& arguments) {
-  if (arguments.empty() && values.count("from") == 0) throw Usage{"expected DIR... or --from"};
+  if (arguments.empty() && values.count("from") == 0) throw UsageError{"expected DIR... or --from"};
   console::View view;
   if (values.count("at") > 0) view.held_at = TimeOption(values, "at");
   RecordSource source(values, arguments);
--- a/src/cli/console.hpp
+++ b/src/cli/console.hpp
@@ -5,7 +5,7 @@
 
 namespace tinspan::cli {
 
-void DescribeConsole(Options& options);
+void AddConsoleOptions(Options& options);
 int RunConsole(const Values& values, const std::vector<std::string>& arguments);
 
 }  // namespace tinspan::cli
--- a/src/cli/keys.cpp
+++ b/src/cli/keys.cpp
@@ -60,7 +60,7 @@
       json = config.keys;
     }
   }
-  if (keys.empty()) throw Usage{"expected --key or --operator-file"};
+  if (keys.empty()) throw UsageError{"expected --key or --operator-file"};
   if (json.empty()) json = config::ReadFile("--key", keys);
   const auto seconds = values["expires"].as<std::uint32_t>();
   return {
@@ -95,7 +95,7 @@
 int RunKeysNew(const Values& values, const std::vector<std::string>&) {
   const std::string name = OptionText(values, "alg");
   if (name != "HS256" && name != "ES256") {
-    throw Usage{"option '--alg': expected HS256 or ES256, not '" + name + "'"};
+    throw UsageError{"option '--alg': expected HS256 or ES256, not '" + name + "'"};
   }
   const std::string key = http::NewKey(name == "HS256" ? http::Algorithm::kHs256 : http::Algorithm::kEs256,
                                        OptionText(values, "id"));
@@ -122,7 +122,8 @@
   const SigningContext signing = PrepareSigning(values);
   const auto target = http::ParseTarget(arguments[0]);
   if (!target || !target->signed_jwt.empty()) {
-    throw Usage{"TARGET: expected an unambiguous path and query without a signature, such as /scans/a/b.jpg"};
+    throw UsageError{
+        "TARGET: expected an unambiguous path and query without a signature, such as /scans/a/b.jpg"};
   }
   std::cout << signing.signer.Link(target->Uri(), net::UnixNow(), signing.expires_at) << "\n";
   return 0;
--- a/src/cli/records.cpp
+++ b/src/cli/records.cpp
@@ -73,7 +73,7 @@
         request_(values.count("request") > 0 ? std::optional(values["request"].as<std::uint64_t>())
                                              : std::nullopt) {
     if (!kind_.empty() && !record::IsKind(kind_)) {
-      throw Usage{
+      throw UsageError{
           "option '--kind': expected one of heartbeat, life, server, members, purge, window, trace, router, "
           "lost, gap, header, not '" +
           kind_ + "'"};
@@ -129,13 +129,13 @@
   if (text.empty()) return std::nullopt;
   const auto time = ParseTime(text);
   if (!time) {
-    throw Usage{std::string("option '--") + option +
-                "': expected a time such as 2026-12-01T14:03:00Z or @1764597780.5, not '" + text + "'"};
+    throw UsageError{std::string("option '--") + option +
+                     "': expected a time such as 2026-12-01T14:03:00Z or @1764597780.5, not '" + text + "'"};
   }
   return time;
 }
 
-void DescribeRecordsCat(Options& options) {
+void AddRecordsCatOptions(Options& options) {
   options.add_options()("from", po::value<std::string>()->value_name("TIME"),
                         "not before, as 2026-12-01T14:03:00Z")(
       "to", po::value<std::string>()->value_name("TIME"), "not after")(
--- a/src/cli/records.hpp
+++ b/src/cli/records.hpp
@@ -9,7 +9,7 @@
 namespace tinspan::cli {
 
 // Declares the options of `records cat`.
-void DescribeRecordsCat(Options& options);
+void AddRecordsCatOptions(Options& options);
 // The commands `records ls`, `records cat` and `records verify`. They return the exit status: cat and verify
 // 1 if something could not be read.
 int RunRecordsList(const Values& values, const std::vector<std::string>& arguments);
@@ -19,7 +19,7 @@
 // Passes all records that are in the folders now to `sink` and returns the number of bytes read. Throws
 // std::runtime_error if there are no segments.
 std::uint64_t ReadRecords(const std::vector<std::string>& paths, record::RecordSink& sink);
-// The value of a time option; nothing if it is not given. Throws Usage if it is not a time.
+// The value of a time option; nothing if it is not given. Throws UsageError if it is not a time.
 std::optional<Micros> TimeOption(const Values& values, const char* option);
 
 }  // namespace tinspan::cli
--- a/src/cli/report.cpp
+++ b/src/cli/report.cpp
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-void DescribeReport(Options& options) {
+void AddReportOptions(Options& options) {
   options.add_options()("from", po::value<std::string>()->value_name("TIME"),
                         "not before, as 2026-12-01T14:03:00Z")(
       "to", po::value<std::string>()->value_name("TIME"), "not after")(
@@ -30,17 +30,17 @@
 int RunReport(const Values& values, const std::vector<std::string>& arguments) {
   const std::string format = values["format"].as<std::string>();
   if (format != "html" && format != "json")
-    throw Usage{"option '--format': expected html or json, not '" + format + "'"};
+    throw UsageError{"option '--format': expected html or json, not '" + format + "'"};
   timeline::TimelineOptions options;
   options.from = TimeOption(values, "from");
   options.to = TimeOption(values, "to");
   if (const auto around = TimeOption(values, "around")) {
-    if (options.from || options.to) throw Usage{"option '--around': expected without --from and --to"};
+    if (options.from || options.to) throw UsageError{"option '--around': expected without --from and --to"};
     options.from = *around - kAroundMargin;
     options.to = *around + kAroundMargin;
   }
   if (options.from && options.to && *options.from >= *options.to)
-    throw Usage{"option '--to': expected a time after --from"};
+    throw UsageError{"option '--to': expected a time after --from"};
   timeline::InstanceTimelines timelines;
   ReadRecords(arguments, timelines);
   const timeline::FleetTimeline fleet = timeline::BuildFleetTimeline(timelines, options);
--- a/src/cli/report.hpp
+++ b/src/cli/report.hpp
@@ -5,7 +5,7 @@
 
 namespace tinspan::cli {
 
-void DescribeReport(Options& options);
+void AddReportOptions(Options& options);
 int RunReport(const Values& values, const std::vector<std::string>& arguments);
 
 }  // namespace tinspan::cli
--- a/src/front/platform/downstream_connections.hpp
+++ b/src/front/platform/downstream_connections.hpp
@@ -13,7 +13,7 @@
 
 #include "config/config.hpp"
 #include "core/request_coordinator.hpp"
-#include "front/platform/client_end.hpp"
+#include "front/platform/client_close_reason.hpp"
 #include "front/platform/client_protocol.hpp"
 #include "front/platform/downstream_client.hpp"
 #include "front/platform/pending_requests.hpp"
--- a/src/front/platform/stalled_connections.cpp
+++ b/src/front/platform/stall_detector.cpp
@@ -1,4 +1,4 @@
-#include "front/platform/stalled_connections.hpp"
+#include "front/platform/stall_detector.hpp"
 
 #include <algorithm>
 #include <cstddef>
--- a/src/front/platform/upstream_connections.cpp
+++ b/src/front/platform/upstream_connections.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "front/platform/stalled_connections.hpp"
+#include "front/platform/stall_detector.hpp"
 #include "log/log.hpp"
 
 namespace tinspan::platform {
--- a/src/report/html.cpp
+++ b/src/report/html.cpp
@@ -4,7 +4,7 @@
 #include "record/json.hpp"
 #include "report/report.hpp"
 #include "setup/time_text.hpp"
-#include "timeline/merge.hpp"
+#include "timeline/build_steps.hpp"
 
 extern const std::string_view kReportPage;   // page.html
 extern const std::string_view kReportChart;  // chart.js, as packaged
--- a/src/timeline/merge.cpp
+++ b/src/timeline/build_steps.cpp
@@ -1,4 +1,4 @@
-#include "timeline/merge.hpp"
+#include "timeline/build_steps.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/timeline/events.cpp
+++ b/src/timeline/events.cpp
@@ -5,7 +5,7 @@
 #include <set>
 #include <utility>
 
-#include "timeline/merge.hpp"
+#include "timeline/build_steps.hpp"
 
 namespace tinspan::timeline {
 namespace {
--- a/src/timeline/fleet_timeline.cpp
+++ b/src/timeline/fleet_timeline.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "setup/time_text.hpp"
-#include "timeline/merge.hpp"
+#include "timeline/build_steps.hpp"
 
 namespace tinspan::timeline {
 namespace {
--- a/src/timeline/incidents.cpp
+++ b/src/timeline/incidents.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <set>
 
-#include "timeline/merge.hpp"
+#include "timeline/build_steps.hpp"
 
 namespace tinspan::timeline {
 namespace {
--- a/src/timeline/service.cpp
+++ b/src/timeline/service.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "timeline/merge.hpp"
+#include "timeline/build_steps.hpp"
 
 namespace tinspan::timeline {
 namespace {
--- a/tests/timeline_test.cpp
+++ b/tests/timeline_test.cpp
@@ -7,8 +7,8 @@
 #include <algorithm>
 #include <random>
 
+#include "timeline/build_steps.hpp"
 #include "timeline/fleet_timeline.hpp"
-#include "timeline/merge.hpp"
 
 namespace tinspan::timeline {
 namespace {
