--- a/tests/net/checks.hpp
+++ b/tests/net/checks.hpp
@@ -1,5 +1,5 @@
-// How the process tests fail: checks for helpers that return a value, threads whose failures reach the test,
-// and the log of the program under test with every failure.
+// Failure reporting of the process tests: checks for helpers that return a value, threads whose exceptions
+// fail the test, and the log of the program under test printed with every failure.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -13,34 +13,36 @@
 #include <thread>
 #include <utility>
 
-/// Returns the log of the program under test; the program sets it while it runs. Empty when none runs.
+/// Returns the log of the program under test. Program sets it while its process runs; otherwise it returns
+/// "". Only one program at a time is covered: the one that was started last.
 inline std::function<std::string()> failure_log = [] { return std::string(); };
 
-/// A check that did not hold. It unwinds to the test, so that every program that the test started is ended.
+/// A failed check. As an exception it unwinds to the test, so that every program that the test started is
+/// killed by its destructor.
 class CheckFailure : public std::runtime_error {
  public:
-  /// `file` and `line` are the check's place, `condition` its text; the program's log is taken now, while it
-  /// runs.
+  /// `file` and `line` locate the check, `condition` is its source text. Appends the program's log, which has
+  /// to be read here, while the program still runs.
   CheckFailure(const char* file, int line, const std::string& condition)
       : std::runtime_error(std::string(file) + ":" + std::to_string(line) + ": failed: " + condition + "\n" +
                            failure_log()) {}
 };
 
-/// For helpers and lambdas, which an ASSERT could only leave but not the test around them: throws
-/// CheckFailure.
+/// Throws CheckFailure if `condition` is false. For helpers and lambdas: a failed ASSERT there would return
+/// from the helper, but the test would go on.
 #define CHECK_OR_THROW(condition)                                         \
   do {                                                                    \
     if (!(condition)) throw CheckFailure(__FILE__, __LINE__, #condition); \
   } while (false)
 
-/// A thread of the test, joined by its destructor. An exception that leaves its function fails the test.
+/// A thread of the test; the destructor joins it. An exception that escapes its function fails the test.
 class TestThread {
  public:
   explicit TestThread(std::function<void()> run) : thread_([run = std::move(run)] { Run(run); }) {}
   TestThread(const TestThread&) = delete;
   TestThread& operator=(const TestThread&) = delete;
   ~TestThread() { Join(); }
-  /// Waits for the function's end; does nothing the second time.
+  /// Waits until the function has returned. Does nothing if the thread was joined before.
   void Join() {
     if (thread_.joinable()) thread_.join();
   }
@@ -66,7 +68,7 @@
   }
 };
 
-/// Adds the printer to GoogleTest's listeners, which own it, before any test runs.
+/// Registers the printer with GoogleTest, which owns it, before any test runs.
 inline const bool kFailureLogPrinterAdded = [] {
   testing::UnitTest::GetInstance()->listeners().Append(std::make_unique<FailureLogPrinter>().release());
   return true;
--- a/tests/net/cli_test.cpp
+++ b/tests/net/cli_test.cpp
@@ -1,5 +1,5 @@
-// The command line as people use it: the real program, README's own lines, what is refused and how, and
-// records of a gateway that was killed.
+// The command line of the real program: the commands of the README, how invalid arguments are reported, the
+// keys and console commands, and the records of a gateway that was killed.
 #include <sys/stat.h>
 
 #include <filesystem>
@@ -13,35 +13,39 @@
 namespace fs = std::filesystem;
 using Json = nlohmann::json;
 
-struct Ran {
+// The exit status and the output of a command line.
+struct CommandResult {
   int status = 0;
-  std::string out;  // both streams
+  std::string output;  // stdout and stderr
 };
 
-struct Place {
-  Place() {
+// A temporary folder in which commands run, with the program as `tinspan`; the destructor deletes it.
+struct WorkFolder {
+  WorkFolder() {
     char name[] = "/tmp/tinspan-cli-XXXXXX";
     CHECK_OR_THROW(::mkdtemp(name) != nullptr);
     folder = name;
     fs::create_symlink(TINSPAN_PROGRAM, folder + "/tinspan");
   }
-  ~Place() { fs::remove_all(folder); }
-  Ran Run(const std::string& line) const {
+  ~WorkFolder() { fs::remove_all(folder); }
+  // Runs a shell command line in the folder.
+  CommandResult Run(const std::string& line) const {
     const std::string command = "cd " + folder + " && PATH=.:$PATH && ( " + line + " ) 2>&1";
     FILE* const pipe = ::popen(command.c_str(), "r");
     CHECK_OR_THROW(pipe != nullptr);
-    Ran ran;
+    CommandResult result;
     char block[4096];
-    while (const std::size_t n = ::fread(block, 1, sizeof block, pipe)) ran.out.append(block, n);
+    while (const std::size_t size = ::fread(block, 1, sizeof block, pipe)) result.output.append(block, size);
     const int status = ::pclose(pipe);
-    ran.status = WIFEXITED(status) ? WEXITSTATUS(status) : 128;
-    return ran;
+    result.status = WIFEXITED(status) ? WEXITSTATUS(status) : 128;
+    return result;
   }
-  // Any free port, so that nothing else on the machine is in the way.
-  void FreePort() const {
+  // Lets the gateway that `init` wrote use any free ports, as others may be in use on the machine, and sets
+  // its record folder.
+  void UseFreePorts() const {
     const std::string path = folder + "/gateway/gateway.json";
-    std::ifstream in(path);
-    Json file = Json::parse(in);
+    std::ifstream input(path);
+    Json file = Json::parse(input);
     file["listen"] = "127.0.0.1:0";
     file["ops"] = "127.0.0.1:0";
     file["members"]["listen"] = "127.0.0.1:0";
@@ -51,29 +55,31 @@
   std::string folder;
 };
 
-bool Has(const Ran& ran, std::string_view text) { return ran.out.find(text) != std::string::npos; }
+bool OutputContains(const CommandResult& result, std::string_view text) {
+  return result.output.find(text) != std::string::npos;
+}
 
-// Every line of README's section for newcomers works as it stands there.
+// Every command of the README's section "Try it" works as it is written there.
 TEST(CliTest, RunsTheCommandsOfTheReadme) {
-  Place place;
+  WorkFolder work;
   std::ifstream readme(TINSPAN_README);
   std::string line;
   while (std::getline(readme, line) && line != "## Try it") {
   }
   int commands = 0;
-  bool served = false;
+  bool has_served = false;
   while (std::getline(readme, line) && !line.starts_with("## ")) {
     if (!line.starts_with("    tinspan ")) continue;
     ++commands;
     const std::string command = line.substr(4, line.find("  #") - 4);
     if (command.starts_with("tinspan serve")) {
-      served = true;
+      has_served = true;
       std::istringstream words(command);
       std::vector<std::string> arguments;
       for (std::string word; words >> word;) arguments.push_back(word);
       arguments.erase(arguments.begin());
-      for (std::string& one : arguments) {
-        if (one.starts_with("gateway/")) one = place.folder + "/" + one;
+      for (std::string& argument : arguments) {
+        if (argument.starts_with("gateway/")) argument = work.folder + "/" + argument;
       }
       Program program(arguments, {});
       program.Port();
@@ -81,93 +87,95 @@
       ASSERT_EQ(program.Wait(), 0);
       continue;
     }
-    const Ran ran = place.Run(command);
-    if (ran.status != 0) std::fprintf(stderr, "%s\n%s", command.c_str(), ran.out.c_str());
-    ASSERT_EQ(ran.status, 0);
-    if (command.starts_with("tinspan init")) place.FreePort();
+    const CommandResult result = work.Run(command);
+    if (result.status != 0) std::fprintf(stderr, "%s\n%s", command.c_str(), result.output.c_str());
+    ASSERT_EQ(result.status, 0);
+    if (command.starts_with("tinspan init")) work.UseFreePorts();
   }
   ASSERT_GE(commands, 6);
-  ASSERT_TRUE(served);
+  ASSERT_TRUE(has_served);
 }
 
 TEST(CliTest, InitWritesFilesForTheirOwnerOnly) {
-  Place place;
-  ASSERT_EQ(place.Run("tinspan init gateway --name south").status, 0);
+  WorkFolder work;
+  ASSERT_EQ(work.Run("tinspan init gateway --name south").status, 0);
   for (const char* name : {"gateway.json", "keys.jwks.json", "signing.jwk.json", "operator.token"}) {
     struct stat info {};
-    ASSERT_EQ(::stat((place.folder + "/gateway/" + name).c_str(), &info), 0);
+    ASSERT_EQ(::stat((work.folder + "/gateway/" + name).c_str(), &info), 0);
     ASSERT_EQ((info.st_mode & 0777), 0600);
   }
-  const Ran again = place.Run("tinspan init gateway");
-  ASSERT_EQ(again.status, 1);
-  ASSERT_TRUE(Has(again, "gateway/gateway.json: exists already"));
-  // One that is in the way of a later file: the earlier ones are taken away again.
-  ASSERT_EQ(place.Run("mkdir half && touch half/operator.token").status, 0);
-  const Ran half = place.Run("tinspan init half");
-  ASSERT_EQ(half.status, 1);
-  ASSERT_TRUE(Has(half, "half/operator.token: exists already"));
-  ASSERT_FALSE(fs::exists(place.folder + "/half/gateway.json"));
-  const Ran wrong = place.Run("tinspan init bad --listen nowhere");
+  const CommandResult repeated = work.Run("tinspan init gateway");
+  ASSERT_EQ(repeated.status, 1);
+  ASSERT_TRUE(OutputContains(repeated, "gateway/gateway.json: exists already"));
+  // If a later file exists already, the files written before it are removed again.
+  ASSERT_EQ(work.Run("mkdir half && touch half/operator.token").status, 0);
+  const CommandResult partial = work.Run("tinspan init half");
+  ASSERT_EQ(partial.status, 1);
+  ASSERT_TRUE(OutputContains(partial, "half/operator.token: exists already"));
+  ASSERT_FALSE(fs::exists(work.folder + "/half/gateway.json"));
+  const CommandResult wrong = work.Run("tinspan init bad --listen nowhere");
   ASSERT_EQ(wrong.status, 1);
-  ASSERT_TRUE(Has(wrong, "listen: expected an address"));
-  ASSERT_FALSE(fs::exists(place.folder + "/bad/gateway.json"));
+  ASSERT_TRUE(OutputContains(wrong, "listen: expected an address"));
+  ASSERT_FALSE(fs::exists(work.folder + "/bad/gateway.json"));
 }
 
 TEST(CliTest, NamesTheFaultyArgument) {
-  Place place;
-  const auto refused = [&](const std::string& line, std::string_view named) {
-    const Ran ran = place.Run(line);
-    return ran.status == 2 && Has(ran, named);
+  WorkFolder work;
+  const auto is_rejected = [&](const std::string& line, std::string_view named) {
+    const CommandResult result = work.Run(line);
+    return result.status == 2 && OutputContains(result, named);
   };
-  ASSERT_TRUE(refused("tinspan", "usage: tinspan COMMAND"));
-  ASSERT_TRUE(refused("tinspan serv", "'serv' is no command"));
-  ASSERT_TRUE(refused("tinspan keys", "expected one of 'keys new'"));
-  ASSERT_TRUE(refused("tinspan serve --colour red", "--colour"));
-  ASSERT_TRUE(refused("tinspan serve now", "stray argument 'now'"));
-  ASSERT_TRUE(refused("tinspan serve --log-level loud", "not 'loud'"));
-  ASSERT_TRUE(refused("tinspan serve --log-format xml", "not 'xml'"));
-  ASSERT_TRUE(refused("tinspan records cat --kind colour .", "not 'colour'"));
-  ASSERT_TRUE(refused("tinspan records cat --from noon .", "not 'noon'"));
-  ASSERT_TRUE(refused("tinspan records ls", "expected DIR"));
-  ASSERT_EQ(place.Run("tinspan help keys link").status, 0);
+  ASSERT_TRUE(is_rejected("tinspan", "usage: tinspan COMMAND"));
+  ASSERT_TRUE(is_rejected("tinspan serv", "'serv' is no command"));
+  ASSERT_TRUE(is_rejected("tinspan keys", "expected one of 'keys new'"));
+  ASSERT_TRUE(is_rejected("tinspan serve --colour red", "--colour"));
+  ASSERT_TRUE(is_rejected("tinspan serve now", "stray argument 'now'"));
+  ASSERT_TRUE(is_rejected("tinspan serve --log-level loud", "not 'loud'"));
+  ASSERT_TRUE(is_rejected("tinspan serve --log-format xml", "not 'xml'"));
+  ASSERT_TRUE(is_rejected("tinspan records cat --kind colour .", "not 'colour'"));
+  ASSERT_TRUE(is_rejected("tinspan records cat --from noon .", "not 'noon'"));
+  ASSERT_TRUE(is_rejected("tinspan records ls", "expected DIR"));
+  ASSERT_EQ(work.Run("tinspan help keys link").status, 0);
   for (const char* command : {"records ls", "records cat", "records verify"}) {
     const std::string line = "tinspan " + std::string(command);
-    ASSERT_EQ(place.Run("mkdir -p empty && echo x > foreign.txt").status, 0);
-    Ran ran = place.Run(line + " nowhere");
-    ASSERT_EQ(ran.status, 1);
-    ASSERT_TRUE(Has(ran, "nowhere: there is no such folder"));
-    ran = place.Run(line + " empty");
-    ASSERT_EQ(ran.status, 1);
-    ASSERT_TRUE(Has(ran, "empty: no records are here"));
-    ran = place.Run(line + " foreign.txt");
-    ASSERT_EQ(ran.status, 1);
-    ASSERT_TRUE(Has(ran, "foreign.txt: expected a folder of records"));
+    ASSERT_EQ(work.Run("mkdir -p empty && echo x > foreign.txt").status, 0);
+    CommandResult result = work.Run(line + " nowhere");
+    ASSERT_EQ(result.status, 1);
+    ASSERT_TRUE(OutputContains(result, "nowhere: there is no such folder"));
+    result = work.Run(line + " empty");
+    ASSERT_EQ(result.status, 1);
+    ASSERT_TRUE(OutputContains(result, "empty: no records are here"));
+    result = work.Run(line + " foreign.txt");
+    ASSERT_EQ(result.status, 1);
+    ASSERT_TRUE(OutputContains(result, "foreign.txt: expected a folder of records"));
   }
 }
 
 TEST(CliTest, SignsWithAndShowsKeys) {
-  Place place;
-  ASSERT_EQ(place.Run("tinspan keys new --alg ES256 --id pair -o pair.json").status, 0);
-  ASSERT_EQ(place.Run("tinspan keys new -o pair.json").status, 1);
-  const Ran shown = place.Run("tinspan keys public pair.json");
+  WorkFolder work;
+  ASSERT_EQ(work.Run("tinspan keys new --alg ES256 --id pair -o pair.json").status, 0);
+  ASSERT_EQ(work.Run("tinspan keys new -o pair.json").status, 1);
+  const CommandResult shown = work.Run("tinspan keys public pair.json");
   ASSERT_EQ(shown.status, 0);
-  ASSERT_TRUE(Has(shown, "\"kid\":\"pair\""));
-  ASSERT_FALSE(Has(shown, "\"d\""));
-  ASSERT_EQ(place.Run("tinspan keys new -o shared.json").status, 0);
-  ASSERT_TRUE(Has(place.Run("tinspan keys public shared.json"), "shared secret has no public part"));
-  ASSERT_EQ(place.Run("tinspan keys link --key pair.json --origin https://a.example /scans/a.jpg").status, 0);
-  ASSERT_EQ(place.Run("tinspan keys link --key pair.json '/scans/a%2Fb.jpg'").status, 2);
-  ASSERT_TRUE(Has(place.Run("tinspan keys token --key pair.json --id other"),
-                  "a key that can sign under id 'other'"));
+  ASSERT_TRUE(OutputContains(shown, "\"kid\":\"pair\""));
+  ASSERT_FALSE(OutputContains(shown, "\"d\""));
+  ASSERT_EQ(work.Run("tinspan keys new -o shared.json").status, 0);
+  ASSERT_TRUE(
+      OutputContains(work.Run("tinspan keys public shared.json"), "shared secret has no public part"));
+  ASSERT_EQ(work.Run("tinspan keys link --key pair.json --origin https://a.example /scans/a.jpg").status, 0);
+  ASSERT_EQ(work.Run("tinspan keys link --key pair.json '/scans/a%2Fb.jpg'").status, 2);
+  ASSERT_TRUE(OutputContains(work.Run("tinspan keys token --key pair.json --id other"),
+                             "a key that can sign under id 'other'"));
 }
 
-// Each line is one JSON object with its event; after SIGKILL what was recorded is there and reads whole.
+// With --log-format json every log line is one JSON object that names its event. After SIGKILL the records
+// are complete and readable.
 TEST(CliTest, RecordsSurviveSigkill) {
-  Place place;
-  ASSERT_EQ(place.Run("tinspan init gateway").status, 0);
-  place.FreePort();
+  WorkFolder work;
+  ASSERT_EQ(work.Run("tinspan init gateway").status, 0);
+  work.UseFreePorts();
   {
-    Program program({"serve", "-f", place.folder + "/gateway/gateway.json", "--log-format", "json"}, {});
+    Program program({"serve", "-f", work.folder + "/gateway/gateway.json", "--log-format", "json"}, {});
     const Json line = Json::parse(program.ReadLogThrough("serve.listening"));
     ASSERT_EQ(line["event"], "serve.listening");
     ASSERT_EQ(line["level"], "info");
@@ -175,52 +183,54 @@
     ASSERT_TRUE(Json::parse(program.ReadLogThrough("consul.query_failed"))["again_ms"].is_number_integer());
     program.Signal(SIGHUP);
     program.ReadLogThrough("keys.reloaded");
-    const std::string cat = "tinspan records cat --kind life gateway/records";
-    for (const auto end = UnixMs() + kWaitLimitMs; !Has(place.Run(cat), "\"reloaded\"");) {
+    const std::string cat_command = "tinspan records cat --kind life gateway/records";
+    for (const auto end = UnixMs() + kWaitLimitMs; !OutputContains(work.Run(cat_command), "\"reloaded\"");) {
       ASSERT_LT(UnixMs(), end);
     }
     program.Signal(SIGKILL);
     ASSERT_EQ(program.Wait(), 128 + SIGKILL);
   }
-  const Ran ran = place.Run("tinspan records verify gateway/records && tinspan records ls gateway/records");
-  ASSERT_EQ(ran.status, 0);
-  ASSERT_TRUE(Has(ran, ", 0 troubles"));
-  ASSERT_TRUE(Has(ran, "no end"));
-  const Ran life = place.Run("tinspan records cat --kind life gateway/records");
-  ASSERT_LT(life.out.find("\"started\""), life.out.find("\"serving\""));
-  ASSERT_LT(life.out.find("\"serving\""), life.out.find("\"signalled\""));
+  const CommandResult result =
+      work.Run("tinspan records verify gateway/records && tinspan records ls gateway/records");
+  ASSERT_EQ(result.status, 0);
+  ASSERT_TRUE(OutputContains(result, ", 0 troubles"));
+  ASSERT_TRUE(OutputContains(result, "no end"));
+  const CommandResult life = work.Run("tinspan records cat --kind life gateway/records");
+  ASSERT_LT(life.output.find("\"started\""), life.output.find("\"serving\""));
+  ASSERT_LT(life.output.find("\"serving\""), life.output.find("\"signalled\""));
 }
 
-// A running gateway shown from afar; what cannot be had is said, and a stream that stalls ends in an error.
+// The console shows a running gateway over HTTP. A wrong token, a missing one, an unreachable source and a
+// server that does not respond are reported as errors.
 TEST(CliTest, ConsoleQueriesAGateway) {
-  Place place;
-  ASSERT_EQ(place.Run("tinspan init gateway").status, 0);
-  place.FreePort();
-  Program program({"serve", "-f", place.folder + "/gateway/gateway.json"}, {});
+  WorkFolder work;
+  ASSERT_EQ(work.Run("tinspan init gateway").status, 0);
+  work.UseFreePorts();
+  Program program({"serve", "-f", work.folder + "/gateway/gateway.json"}, {});
   const std::string url = " --from http://127.0.0.1:" + std::to_string(program.Port());
   const std::string token = " --token-file gateway/operator.token";
-  const Ran frame = place.Run("tinspan console --once" + url + token);
+  const CommandResult frame = work.Run("tinspan console --once" + url + token);
   ASSERT_EQ(frame.status, 0);
-  ASSERT_TRUE(Has(frame, "gateway-north"));
-  ASSERT_TRUE(Has(frame, " up "));
-  ASSERT_TRUE(Has(frame, "gateway-north serving"));
-  const Ran wrong =
-      place.Run("echo another token of its size > wrong && tinspan console --once --token-file wrong" + url);
+  ASSERT_TRUE(OutputContains(frame, "gateway-north"));
+  ASSERT_TRUE(OutputContains(frame, " up "));
+  ASSERT_TRUE(OutputContains(frame, "gateway-north serving"));
+  const CommandResult wrong =
+      work.Run("echo another token of its size > wrong && tinspan console --once --token-file wrong" + url);
   ASSERT_EQ(wrong.status, 1);
-  ASSERT_TRUE(Has(wrong, "the operator's token is not accepted"));
+  ASSERT_TRUE(OutputContains(wrong, "the operator's token is not accepted"));
   TcpListener silent;
-  const Ran stalled = place.Run("tinspan console --once --from http://" + silent.Address() + token);
+  const CommandResult stalled = work.Run("tinspan console --once --from http://" + silent.Address() + token);
   ASSERT_EQ(stalled.status, 1);
-  ASSERT_TRUE(Has(stalled, "no answer from " + silent.Address()));
-  ASSERT_EQ(place.Run("tinspan console").status, 2);
-  ASSERT_EQ(place.Run("tinspan console --once nowhere").status, 1);
-  ASSERT_EQ(place.Run("tinspan console --once" + url).status, 2);  // no token
-  ASSERT_EQ(place.Run("mkdir empty && tinspan console --once empty").status, 1);
-  const Ran live = place.Run("tinspan console gateway/records < /dev/null");
+  ASSERT_TRUE(OutputContains(stalled, "no answer from " + silent.Address()));
+  ASSERT_EQ(work.Run("tinspan console").status, 2);
+  ASSERT_EQ(work.Run("tinspan console --once nowhere").status, 1);
+  ASSERT_EQ(work.Run("tinspan console --once" + url).status, 2);  // no token
+  ASSERT_EQ(work.Run("mkdir empty && tinspan console --once empty").status, 1);
+  const CommandResult live = work.Run("tinspan console gateway/records < /dev/null");
   ASSERT_EQ(live.status, 1);
-  ASSERT_TRUE(Has(live, "no terminal is here"));
+  ASSERT_TRUE(OutputContains(live, "no terminal is here"));
   for (const char* what : {"report nowhere", "report empty"}) {
-    ASSERT_EQ(place.Run("tinspan " + std::string(what)).status, 1);
+    ASSERT_EQ(work.Run("tinspan " + std::string(what)).status, 1);
   }
 }
 
--- a/tests/net/delayed_servers.hpp
+++ b/tests/net/delayed_servers.hpp
@@ -1,4 +1,5 @@
-// Servers of the platform that answer every request after a delay, for tests that keep many in flight.
+// Servers and clients of the platform for tests that keep many requests in flight: the servers answer every
+// request after a fixed delay.
 #pragma once
 
 #include <deque>
@@ -9,14 +10,14 @@
 
 namespace {
 
-/// Milliseconds of a clock that is never set.
+/// Milliseconds of the monotonic clock.
 inline std::int64_t SteadyMs() {
   using namespace std::chrono;
   return duration_cast<milliseconds>(steady_clock::now().time_since_epoch()).count();
 }
 
-/// Accepts at some listeners, which must outlive it, and answers `OK` to each request after the delay. One
-/// thread, ended by the destructor.
+/// Accepts connections at `listeners`, which must outlive it, and answers `OK` to each request after
+/// `delay_ms`. Runs on its own thread, which the destructor joins.
 class DelayedServers {
  public:
   DelayedServers(std::vector<const TcpListener*> listeners, int delay_ms)
@@ -34,7 +35,7 @@
     std::string unread;
     bool is_closed = false;
   };
-  struct DueAnswer {
+  struct DueResponse {
     std::int64_t due_at_ms;
     Connection* connection;
     std::string reference;
@@ -42,22 +43,22 @@
 
   void Run() {
     while (!is_stopping_) {
-      std::vector<pollfd> waits;
+      std::vector<pollfd> poll_entries;
       for (const TcpListener* const listener : listeners_) {
-        waits.push_back({listener->Descriptor(), POLLIN, 0});
+        poll_entries.push_back({listener->Descriptor(), POLLIN, 0});
       }
       for (const Connection& connection : connections_) {
-        waits.push_back({connection.is_closed ? -1 : connection.peer.Descriptor(), POLLIN, 0});
+        poll_entries.push_back({connection.is_closed ? -1 : connection.peer.Descriptor(), POLLIN, 0});
       }
-      ::poll(waits.data(), waits.size(), kRoundMs);
+      ::poll(poll_entries.data(), poll_entries.size(), kPollTimeoutMs);
       std::size_t position = listeners_.size();
       for (Connection& connection : connections_) {
-        if (waits[position++].revents != 0) Receive(connection);
+        if (poll_entries[position++].revents != 0) Receive(connection);
       }
       for (std::size_t index = 0; index < listeners_.size(); ++index) {
-        if (waits[index].revents != 0) connections_.emplace_back(listeners_[index]->Accept());
+        if (poll_entries[index].revents != 0) connections_.emplace_back(listeners_[index]->Accept());
       }
-      AnswerDue();
+      SendDueResponses();
     }
   }
 
@@ -69,52 +70,53 @@
       return;
     }
     connection.unread.append(block.data(), static_cast<std::size_t>(size));
-    // A request here has no body: its line and an empty one.
+    // These requests have no body: a request line and an empty line.
     std::size_t end = 0;
     while ((end = connection.unread.find("\r\n\r\n")) != std::string::npos) {
       const std::string line = connection.unread.substr(0, end);
       connection.unread.erase(0, end + 4);
       if (!line.starts_with("REQ ")) continue;
-      answers_.push_back({SteadyMs() + delay_ms_, &connection, line.substr(4, 16)});
+      responses_.push_back({SteadyMs() + delay_ms_, &connection, line.substr(4, 16)});
     }
   }
 
-  void AnswerDue() {
-    while (!answers_.empty() && answers_.front().due_at_ms <= SteadyMs()) {
-      const DueAnswer answer = answers_.front();
-      answers_.pop_front();
+  void SendDueResponses() {
+    while (!responses_.empty() && responses_.front().due_at_ms <= SteadyMs()) {
+      const DueResponse answer = responses_.front();
+      responses_.pop_front();
       if (answer.connection->is_closed) continue;
-      const std::string text = Ok("abc", "", answer.reference);
+      const std::string text = OkResponse("abc", "", answer.reference);
       ::send(answer.connection->peer.Descriptor(), text.data(), text.size(), MSG_NOSIGNAL);
     }
   }
 
-  static constexpr int kRoundMs = 2;
+  static constexpr int kPollTimeoutMs = 2;
 
   std::vector<const TcpListener*> listeners_;
   int delay_ms_;
   std::list<Connection> connections_;
-  std::deque<DueAnswer> answers_;
+  std::deque<DueResponse> responses_;
   std::atomic<bool> is_stopping_{false};
   TestThread thread_;
 };
 
-/// What became of one request.
+/// When one request was sent and answered, and with which status.
 struct RequestRecord {
   std::int64_t written_at_ms = 0;
-  std::int64_t answered_at_ms = 0;  // 0: never
+  std::int64_t answered_at_ms = 0;  // 0: not answered
   std::string status{};
 };
 
-/// A client on one connection that keeps `depth` requests in flight, whatever it is told, until the
-/// connection ends or the time is up. One thread; Join() before the records are read.
+/// A client that keeps `depth` requests in flight on one connection, whatever the responses are, until the
+/// connection ends or `until_ms` (monotonic clock) has passed. Runs on its own thread: call Join() before
+/// reading the records.
 class BusyClient {
  public:
   BusyClient(int port, int number, std::size_t depth, std::int64_t until_ms)
       : number_(number), depth_(depth), until_ms_(until_ms), thread_([this, port] { Run(port); }) {}
 
   void Join() { thread_.Join(); }
-  /// When the instance ended the connection; 0: it did not.
+  /// The time at which the instance ended the connection (monotonic clock, ms); 0 if it did not.
   std::int64_t EndedAt() const { return ended_at_ms_; }
   const std::map<std::string, RequestRecord>& Requests() const { return requests_; }
 
@@ -133,7 +135,7 @@
         return;
       }
       received.append(block.data(), static_cast<std::size_t>(size));
-      while (TakeAnswer(received)) --in_flight;
+      while (TakeResponse(received)) --in_flight;
     }
   }
 
@@ -142,13 +144,14 @@
     std::array<char, 17> reference{};
     std::snprintf(reference.data(), reference.size(), "%08x%08zx", static_cast<unsigned>(number_),
                   requests_.size() + 1);
-    const std::string text = Call(tag, "", 2500, reference.data(), reference.data());
+    const std::string text = EncodeCall(tag, "", 2500, reference.data(), reference.data());
     requests_[tag].written_at_ms = SteadyMs();
     ::send(client.Descriptor(), text.data(), text.size(), MSG_NOSIGNAL);
   }
 
-  // Takes one complete answer off the front: four words, each behind its length.
-  bool TakeAnswer(std::string& received) {
+  // Removes one complete response from the front of `received`: four words, each preceded by its length.
+  // Returns false if the response is not complete yet.
+  bool TakeResponse(std::string& received) {
     std::vector<std::string> words;
     std::size_t position = received.find("\r\n");
     if (position == std::string::npos) return false;
@@ -163,7 +166,7 @@
     }
     received.erase(0, position);
     RequestRecord& record = requests_.at(words[0]);
-    CHECK_OR_THROW(record.answered_at_ms == 0);  // one final answer
+    CHECK_OR_THROW(record.answered_at_ms == 0);  // at most one final response
     record.answered_at_ms = SteadyMs();
     record.status = words[1];
     return true;
--- a/tests/net/fleet_view_test.cpp
+++ b/tests/net/fleet_view_test.cpp
@@ -1,27 +1,27 @@
-// The membership view of real proxy instances: eight processes and more, a UDP relay between them, and faults
-// injected by the test. Every live member's view must converge within a limit after each fault, and no live,
-// reachable member may be held dead for longer than the limit.
+// The membership views of eight and more real proxy instances with a UDP relay between them and faults
+// injected by the test. After each fault the views of all running members must converge within a limit, and
+// no view may show a running, reachable member as dead for longer than the limit.
 #include "view_fleet.hpp"
 
 namespace {
 
-// A killed member is dead in every view; started again under its name, it is a newer incarnation, alive.
+// A killed member becomes dead in every view. Restarted under its name, it is alive with a newer incarnation.
 TEST(FleetViewTest, DetectsAKilledMemberAndItsRejoin) {
   MembershipFleet fleet(8);
   const std::uint64_t before = fleet.View(5)["n5"].incarnation;
   fleet.Kill(5);
-  const long long found = fleet.TimeToConverge(kConvergenceLimitMs);
-  ASSERT_GE(found, 0);
-  ReportDuration("a crash dead in seven views", found);
+  const long long detected_ms = fleet.TimeToConverge(kConvergenceLimitMs);
+  ASSERT_GE(detected_ms, 0);
+  ReportDuration("crash detected by seven members", detected_ms);
   fleet.Start(5);
   fleet.WaitUntilReady(5);
   const long long back = fleet.TimeToConverge(kConvergenceLimitMs);
   ASSERT_GE(back, 0);
-  ReportDuration("its restart alive in eight", back);
+  ReportDuration("restart seen alive by eight members", back);
   for (int i = 0; i < 8; ++i) {
     ASSERT_GT(fleet.View(i)["n5"].incarnation, before);
   }
-  // One that is stopped says that it leaves.
+  // A member that is shut down announces that it leaves.
   fleet.instances[6].program->Signal(SIGTERM);
   ASSERT_EQ(fleet.instances[6].program->Wait(), 0);
   fleet.instances[6].program.reset();
@@ -29,7 +29,8 @@
   ASSERT_EQ(fleet.View(0)["n6"].state, "left");
 }
 
-// SIGSTOP for 3 s, long enough to be declared dead; it must refute and not be flapped out for good.
+// A member is stopped (SIGSTOP) for 3 s, long enough to be declared dead. When it continues it must refute
+// that and must not be declared dead again.
 TEST(FleetViewTest, APausedMemberRefutesItsSuspicion) {
   MembershipFleet fleet(8);
   const std::uint64_t before = fleet.View(3)["n3"].incarnation;
@@ -44,17 +45,17 @@
   ASSERT_TRUE(suspected);
   const long long took = fleet.TimeToConverge(kConvergenceLimitMs);
   ASSERT_GE(took, 0);
-  ReportDuration("a 3 s pause refuted everywhere", took);
+  ReportDuration("3 s pause refuted in all views", took);
   ASSERT_GT(fleet.View(0)["n3"].incarnation, before);
-  ASSERT_EQ(fleet.LongestWronglyDead(3'000), 0);  // and stays alive, and suspects nobody
+  ASSERT_EQ(fleet.LongestFalseDeath(3'000), 0);  // it stays alive and declares nobody dead
 }
 
-// The fleet in two for 10 s: each side agrees on itself; healed, all agree again, also one that was stopped
-// meanwhile, with its view from before.
+// The fleet is partitioned into halves for 10 s: each half converges on its own members. After the partition
+// has healed all members converge, including one that was stopped meanwhile and still has its old view.
 TEST(FleetViewTest, ConvergesAfterAHealedPartition) {
   MembershipFleet fleet(8);
   const long long start = UnixMs();
-  fleet.relay.Split(4);
+  fleet.relay.Partition(4);
   ASSERT_GE(fleet.TimeToConverge(kConvergenceLimitMs, std::set<int>{0, 1, 2, 3}), 0);
   ASSERT_GE(fleet.TimeToConverge(kConvergenceLimitMs, std::set<int>{4, 5, 6, 7}), 0);
   fleet.instances[7].program->Signal(SIGSTOP);
@@ -63,25 +64,26 @@
   fleet.instances[7].program->Signal(SIGCONT);
   const long long took = fleet.TimeToConverge(kConvergenceLimitMs);
   ASSERT_GE(took, 0);
-  ReportDuration("a 10 s partition healed", took);
-  ASSERT_EQ(fleet.LongestWronglyDead(2'000), 0);
+  ReportDuration("converged after a 10 s partition", took);
+  ASSERT_EQ(fleet.LongestFalseDeath(2'000), 0);
 }
 
-// A link cut one way, and a tenth of all datagrams lost: nobody alive is held dead for longer than the limit.
+// One link drops datagrams in one direction; then a tenth of all datagrams is lost. No view may show a
+// running member as dead for longer than the limit.
 TEST(FleetViewTest, OneWayLinkAndLossCauseNoWrongDeath) {
   MembershipFleet fleet(8);
-  fleet.relay.Cut(1, 2);
-  const long long one_way = fleet.LongestWronglyDead(8'000);
-  ReportDuration("held dead behind a one-way link", one_way);
+  fleet.relay.CutLink(1, 2);
+  const long long one_way = fleet.LongestFalseDeath(8'000);
+  ReportDuration("longest false death with a one-way link", one_way);
   ASSERT_LT(one_way, 2'000);
   ASSERT_GE(fleet.TimeToConverge(kConvergenceLimitMs), 0);
   fleet.relay.Heal();
-  fleet.relay.Lose(0.1);
-  const long long lossy = fleet.LongestWronglyDead(12'000);
-  ReportDuration("held dead at a tenth lost", lossy);
+  fleet.relay.SetLossRate(0.1);
+  const long long lossy = fleet.LongestFalseDeath(12'000);
+  ReportDuration("longest false death with a tenth of the datagrams lost", lossy);
   ASSERT_GT(fleet.relay.Dropped(), 50);
   ASSERT_LT(lossy, 2'000);
-  fleet.relay.Lose(0);
+  fleet.relay.SetLossRate(0);
   ASSERT_GE(fleet.TimeToConverge(kConvergenceLimitMs), 0);
 }
 
@@ -90,14 +92,14 @@
   for (int i = 0; i < 30; ++i) fleet.Add();
   const long long took = fleet.TimeToConverge(2LL * kConvergenceLimitMs);
   ASSERT_GE(took, 0);
-  ReportDuration("thirty joins in 38 views", took);
+  ReportDuration("thirty joins known to 38 members", took);
 }
 
-// Its clock an hour back at a restart, so that its incarnation is older than what is known of it; and a jump
-// by an hour while it runs.
+// A member restarts with its clock set back by an hour, so that its incarnation starts below the one that the
+// others know. Then its clock jumps while it runs.
 TEST(FleetViewTest, ToleratesAClockThatJumps) {
   TemporaryFile offset(std::string(8, '\0'));
-  const auto shift = [&](std::int64_t micros) {
+  const auto set_clock_offset = [&](std::int64_t micros) {
     std::fstream out(offset.path, std::ios::in | std::ios::out | std::ios::binary);
     out.write(reinterpret_cast<const char*>(&micros), sizeof micros);
   };
@@ -105,21 +107,22 @@
   const std::uint64_t before = fleet.View(2)["n2"].incarnation;
   fleet.Kill(2);
   ASSERT_GE(fleet.TimeToConverge(kConvergenceLimitMs), 0);
-  shift(-3'600'000'000);
+  set_clock_offset(-3'600'000'000);
   fleet.Start(2, {{"LD_PRELOAD", TINSPAN_FAULTS},
                   {"TINSPAN_TEST_CLOCK", offset.path},
                   {"ASAN_OPTIONS", "verify_asan_link_order=0"}});
   fleet.WaitUntilReady(2);
   const long long back = fleet.TimeToConverge(kConvergenceLimitMs);
   ASSERT_GE(back, 0);
-  ReportDuration("a restart an hour back alive everywhere", back);
+  ReportDuration("restart with a clock an hour back alive in all views", back);
   ASSERT_GT(fleet.View(0)["n2"].incarnation, before);
-  shift(3'600'000'000);
-  ASSERT_EQ(fleet.LongestWronglyDead(2'000), 0);
+  set_clock_offset(3'600'000'000);
+  ASSERT_EQ(fleet.LongestFalseDeath(2'000), 0);
   ASSERT_GE(fleet.TimeToConverge(kConvergenceLimitMs), 0);
 }
 
-// Datagrams that are bad, foreign, of another version or too large: counted, dropped, nothing else changes.
+// Datagrams that are malformed, not of this protocol, of another version or too large are counted and
+// dropped; nothing else changes.
 TEST(FleetViewTest, CountsMalformedDatagrams) {
   MembershipFleet fleet(8);
   const int fd = ::socket(AF_INET, SOCK_DGRAM, 0);
@@ -127,41 +130,41 @@
   address.sin_family = AF_INET;
   address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
   address.sin_port = htons(static_cast<std::uint16_t>(fleet.instances[0].port));
-  const std::vector<std::string> bad{"",
-                                     "GET / HTTP/1.1\r\n\r\n",
-                                     std::string("TSM\x01", 4) + std::string(60, '\xff'),
-                                     std::string("TSM\x09", 4) + "later",
-                                     std::string(1'401, 'x'),
-                                     std::string(60'000, 'x')};
-  // One of each at a time, so that the socket's buffer holds them.
+  const std::vector<std::string> malformed{"",
+                                           "GET / HTTP/1.1\r\n\r\n",
+                                           std::string("TSM\x01", 4) + std::string(60, '\xff'),
+                                           std::string("TSM\x09", 4) + "later",
+                                           std::string(1'401, 'x'),
+                                           std::string(60'000, 'x')};
+  // One datagram of each kind per round, so that the socket's buffer does not overflow.
   for (std::uint64_t round = 1; round <= 100; ++round) {
-    for (const std::string& one : bad) {
-      ASSERT_EQ(
-          ::sendto(fd, one.data(), one.size(), 0, reinterpret_cast<sockaddr*>(&address), sizeof address),
-          static_cast<ssize_t>(one.size()));
+    for (const std::string& datagram : malformed) {
+      ASSERT_EQ(::sendto(fd, datagram.data(), datagram.size(), 0, reinterpret_cast<sockaddr*>(&address),
+                         sizeof address),
+                static_cast<ssize_t>(datagram.size()));
     }
     const long long end = UnixMs() + kWaitLimitMs;
-    while (fleet.Metric(0, "fleet_datagrams_refused_total") < round * bad.size()) {
+    while (fleet.Metric(0, "fleet_datagrams_refused_total") < round * malformed.size()) {
       ASSERT_LT(UnixMs(), end);
     }
   }
   ::close(fd);
-  ASSERT_EQ(fleet.Metric(0, "fleet_datagrams_refused_total"), 100 * bad.size());
+  ASSERT_EQ(fleet.Metric(0, "fleet_datagrams_refused_total"), 100 * malformed.size());
   ASSERT_EQ(fleet.Metric(0, "fleet_members_alive"), 8);
   ASSERT_GE(fleet.TimeToConverge(kConvergenceLimitMs), 0);
 }
 
-// What one instance sees fail, all know; the command shows it; a second process waits for the port of the
-// first.
+// A server that one instance sees failing becomes known to all instances; the `members` command lists them
+// all, and fails where no admin listener answers.
 TEST(FleetViewTest, SpreadsFailingServers) {
   MembershipFleet fleet(8);
   ProxyInstance& instance = fleet.instances[1];
   const std::string client = instance.program->log.substr(instance.program->log.find("serving at "));
-  TcpPeer caller = TcpPeer::Connect(PortOf(client.substr(0, client.find('\n'))));
-  caller.Send(Call("1"));
-  TcpPeer asked = fleet.cache.Accept();
-  asked.ReadUntil("\r\n\r\n");
-  asked.Reset();
+  TcpPeer caller = TcpPeer::Connect(ParsePort(client.substr(0, client.find('\n'))));
+  caller.Send(EncodeCall("1"));
+  TcpPeer cache_connection = fleet.cache.Accept();
+  cache_connection.ReadUntil("\r\n\r\n");
+  cache_connection.Reset();
   const long long start = UnixMs();
   for (int i = 0; i < 8;) {
     if (fleet.View(i)["n1"].failing != "failing=") {
@@ -171,48 +174,50 @@
     ASSERT_LT(UnixMs() - start, kConvergenceLimitMs);
     std::this_thread::sleep_for(std::chrono::milliseconds(50));
   }
-  ReportDuration("a failing edge cache known to eight", UnixMs() - start);
-  Program shown({"members", "--door", "127.0.0.1:" + std::to_string(fleet.instances[0].ops_port)}, {});
-  ASSERT_EQ(shown.Wait(), 0);
+  ReportDuration("failing edge cache known to eight members", UnixMs() - start);
+  Program members_command({"members", "--door", "127.0.0.1:" + std::to_string(fleet.instances[0].ops_port)},
+                          {});
+  ASSERT_EQ(members_command.Wait(), 0);
   for (int i = 0; i < 8; ++i) {
-    ASSERT_NE(shown.log.find("n" + std::to_string(i) + " "), std::string::npos);
+    ASSERT_NE(members_command.log.find("n" + std::to_string(i) + " "), std::string::npos);
   }
-  Program none({"members", "--door", "127.0.0.1:1"}, {});
-  ASSERT_EQ(none.Wait(), 1);
-  ASSERT_NE(none.log.find("no operators' door at 127.0.0.1:1"), std::string::npos);
+  Program unreachable({"members", "--door", "127.0.0.1:1"}, {});
+  ASSERT_EQ(unreachable.Wait(), 1);
+  ASSERT_NE(unreachable.log.find("no operators' door at 127.0.0.1:1"), std::string::npos);
 }
 
-// Off where the file names no members, as on the platform; an upgrade's second process waits for the port.
+// Membership is off if the configuration has no `members`, as on the platform. During an upgrade the second
+// process waits for the datagram port of the first.
 TEST(FleetViewTest, IsOffByDefaultAndWaitsForItsPort) {
-  World off(0, true, "1024", "192", kSettings, {{"PROXY_OPS", "127.0.0.1:0"}});
-  TcpPeer caller = TcpPeer::Connect(PortOf(off.program->ReadLogThrough("operators' door at ")));
+  World world(0, true, "1024", "192", kSettings, {{"PROXY_OPS", "127.0.0.1:0"}});
+  TcpPeer caller = TcpPeer::Connect(ParsePort(world.program->ReadLogThrough("operators' door at ")));
   caller.Send("members\n");
   ASSERT_EQ(caller.ReadUntil("\n"), "error members are off here");
-  ASSERT_EQ(off.program->log.find("members"), std::string::npos);
+  ASSERT_EQ(world.program->log.find("members"), std::string::npos);
   MembershipFleet fleet(8);
   std::string text;
   std::ifstream file(fleet.instances[4].file->path);
   std::getline(file, text, '\0');
-  const std::string any = R"("members":{"fleet":"shop","listen":"127.0.0.1:0")";
-  ASSERT_NE(text.find(any), std::string::npos);
+  const std::string any_port = R"("members":{"fleet":"shop","listen":"127.0.0.1:0")";
+  ASSERT_NE(text.find(any_port), std::string::npos);
   text.replace(
-      text.find(any), any.size(),
+      text.find(any_port), any_port.size(),
       R"("members":{"fleet":"shop","listen":"127.0.0.1:)" + std::to_string(fleet.instances[4].port) + "\"");
-  const TemporaryFile fixed(text);
+  const TemporaryFile fixed_port_file(text);
   Program next({"serve"}, {{"PROXY_NAME", "n4"},
                            {"PROXY_LISTEN", "127.0.0.1:0"},
-                           {"PROXY_CONFIG", fixed.path},
+                           {"PROXY_CONFIG", fixed_port_file.path},
                            {"PROXY_OPS", "127.0.0.1:0"}});
   next.ReadLogThrough("is in use");
-  const int door = PortOf(next.ReadLogThrough("operators' door at "));
-  TcpPeer status = TcpPeer::Connect(door);
+  const int ops_port = ParsePort(next.ReadLogThrough("operators' door at "));
+  TcpPeer status = TcpPeer::Connect(ops_port);
   status.Send("status\n");
   ASSERT_EQ(status.ReadUntil("\n"), "done serving");
   const std::uint64_t before = fleet.View(4)["n4"].incarnation;
   fleet.instances[4].program->Signal(SIGTERM);
   ASSERT_EQ(fleet.instances[4].program->Wait(), 0);
   next.ReadLogThrough("members at ");
-  fleet.instances[4].ops_port = door;
+  fleet.instances[4].ops_port = ops_port;
   ASSERT_GE(fleet.TimeToConverge(kConvergenceLimitMs), 0);
   ASSERT_GT(fleet.View(0)["n4"].incarnation, before);
 }
--- a/tests/net/harness.hpp
+++ b/tests/net/harness.hpp
@@ -1,4 +1,5 @@
-// For the tests of the network code: the real program as a process, and the test as its clients and servers.
+// Harness of the process tests: the real program runs as a child process, the test plays its clients and
+// servers.
 #pragma once
 
 #include <cstring>
--- a/tests/net/harness_test.cpp
+++ b/tests/net/harness_test.cpp
@@ -1,5 +1,4 @@
-// The harness of the process tests: what a failed check says, and that it ends the programs that were
-// started.
+// Tests of the process tests' harness: what a failed check reports, and that it ends the started programs.
 #include <gtest/gtest-spi.h>
 
 #include <cerrno>
@@ -9,7 +8,7 @@
 
 namespace {
 
-// What a check that fails in `run` says; nothing if none failed.
+// The text of the check that fails in `run`; empty if none fails.
 std::string FailureOf(const std::function<void()>& run) {
   try {
     run();
--- a/tests/net/http_test.cpp
+++ b/tests/net/http_test.cpp
@@ -1,5 +1,5 @@
-// The gateway's front: the real program between web clients, signing servers and a Consul, all played here
-// from their public specifications (RFC 9110 to 9112, 9246, 7515, 6750, and Consul's HTTP API).
+// The HTTP front of a gateway: the real program, with web clients, servers and Consul played by the test
+// after their public specifications (RFC 9110 to 9112, 9246, 7515, 6750, and Consul's HTTP API).
 #include "front/http/access.hpp"
 #include "front/http/jws.hpp"
 #include "harness.hpp"
@@ -12,30 +12,32 @@
 using tinspan::http::SignCompact;
 
 const std::string kOrigin = "https://scans.example.is";
-const std::string kShared =
+const std::string kSharedKey =
     R"({"kty":"oct","kid":"shared-1","alg":"HS256","k":"AyM1SysPpbyDfgZld3umj1qzKObwVMkoqQ-EstJQLr_T-1qS0gZH75aKtMN3Yj0iPS4hcgUuTwjAzZr1Z9CAow"})";
-const std::string kPublic =
+const std::string kPublicKeyFields =
     R"("kty":"EC","crv":"P-256","kid":"pair-1","alg":"ES256","x":"f83OJ3D2xF1Bg8vub9tLe1gHMzV76e8Tus9uPHvRVEU","y":"x_FEzRu9m36HLN_tue659LNpXW6pCyStikYjKIWI5a0")";
-const std::string kPair = "{" + kPublic + R"(,"d":"jpsQnnGQmL-YBIffH1136cspYG6-0iY7X1fCE9-E9LI"})";
-const std::string kOther =
+const std::string kKeyPair =
+    "{" + kPublicKeyFields + R"(,"d":"jpsQnnGQmL-YBIffH1136cspYG6-0iY7X1fCE9-E9LI"})";
+const std::string kForgedKey =
     R"({"kty":"oct","kid":"shared-1","alg":"HS256","k":"c29tZSBvdGhlciBzZWNyZXQgb2YgdGhpcnR5LXR3byBieXRlcyE"})";
-const std::string kNext =
+const std::string kNextKey =
     R"({"kty":"oct","kid":"shared-2","alg":"HS256","k":"dGhlIG5leHQgc2VjcmV0LCBpbiB1c2UgYWZ0ZXIgYSByb3RhdGlvbg"})";
-const std::string kOwn =
+const std::string kGatewayKey =
     R"({"kty":"oct","kid":"gateway-1","alg":"HS256","k":"dGhlIGdhdGV3YXkncyBvd24gc2VjcmV0IG9mIG1hbnkgYnl0ZXM"})";
 
-std::string Lane(const char* name, const char* effect, int aim, int ms) {
+// One class of the settings, with its latency objective and its deadline.
+std::string ClassSettings(const char* name, const char* effect, int objective_ms, int deadline_ms) {
   return std::string(R"({"name":")") + name + R"(","effect":")" + effect +
-         R"(","keyScope":"all","promiseMs":)" + std::to_string(aim) +
+         R"(","keyScope":"all","promiseMs":)" + std::to_string(objective_ms) +
          R"(,)"
          R"("giveUpMs":)" +
-         std::to_string(ms) + R"(,"lateShare":0.2,"credit":1.0,"windowMs":6000.0})";
+         std::to_string(deadline_ms) + R"(,"lateShare":0.2,"credit":1.0,"windowMs":6000.0})";
 }
 const std::string kSettings =
     R"({"areas":["core","edge"],"kinds":["box","store"],"zone":"edge","instances":1,"me":0,
 "tickMs":2.0,"lanes":[)" +
-    Lane("scans", "repeatable", 1400, 1500) + "," + Lane("pages", "repeatable", 1400, 1500) + "," +
-    Lane("orders", "by_key", 1500, 1500) +
+    ClassSettings("scans", "repeatable", 1400, 1500) + "," +
+    ClassSettings("pages", "repeatable", 1400, 1500) + "," + ClassSettings("orders", "by_key", 1500, 1500) +
     R"(],"familyInfo":{"midKind":-1,"sourceKind":1,"siblings":"location","detail":"hit",
 "passThroughOk":true,"canJoin":true,"classWrite":[false,false,true],"maxAgeMs":[0.0,12000.0,0.0],
 "instancesByZone":[0,1],"purgeSlackMs":1000.0,"goneEverywhereMs":6000.0},"limits":{"maxAttempts":2,"cancel":true,
@@ -43,78 +45,88 @@
 "rules":{"coldShare":0.2,"warmAfterMs":16000.0,"fallMultiple":2.5,"tipAfterMs":3000.0,"drainGraceMs":500.0,
 "graceToAnswerMs":8.0},"weights":"off"})";
 
-struct Answer {
+struct Response {
   int status = 0;
   std::string head;
   std::string body;
 };
-// A request or an answer with a Content-Length.
-std::string Message(TcpPeer& peer, std::string* body = nullptr) {
+// Reads one request or response whose body, if any, has a Content-Length; returns the head.
+std::string ReadMessage(TcpPeer& peer, std::string* body = nullptr) {
   const std::string head = peer.ReadUntil("\r\n\r\n") + "\r\n";
-  const std::size_t at = head.find("Content-Length: ");
-  const std::string got = at == std::string::npos ? "" : peer.ReadExactly(std::stoul(head.substr(at + 16)));
-  if (body != nullptr) *body = got;
+  const std::size_t position = head.find("Content-Length: ");
+  const std::string content =
+      position == std::string::npos ? "" : peer.ReadExactly(std::stoul(head.substr(position + 16)));
+  if (body != nullptr) *body = content;
   return head;
 }
-Answer Read(TcpPeer& client) {
-  Answer out;
-  out.head = Message(client, &out.body);
+// Reads one response.
+Response ReadResponse(TcpPeer& client) {
+  Response out;
+  out.head = ReadMessage(client, &out.body);
   CHECK_OR_THROW(out.head.starts_with("HTTP/1.1 "));
   out.status = std::stoi(out.head.substr(9));
   return out;
 }
-std::string Reply(const std::string& status, const std::string& body, const std::string& fields = "") {
+std::string EncodeResponse(const std::string& status, const std::string& body,
+                           const std::string& fields = "") {
   return "HTTP/1.1 " + status + "\r\n" + fields + "Content-Length: " + std::to_string(body.size()) +
          "\r\n\r\n" + body;
 }
-std::string Get(const std::string& target, const std::string& fields = "") {
+std::string EncodeGet(const std::string& target, const std::string& fields = "") {
   return "GET " + target + " HTTP/1.1\r\nHost: scans.example.is\r\n" + fields + "\r\n";
 }
 
-// Signatures as an issuer makes them.
-std::string Times(double expires, double from = -60) {
+// Claims, tokens and signed links as an issuer makes them.
+// The issuer and time claims; `expires` and `from` are seconds relative to now.
+std::string TimeClaims(double expires, double from = -60) {
   const double now = static_cast<double>(UnixMs()) / 1000;
   return R"("iss":"shop","exp":)" + std::to_string(now + expires) + R"(,"nbf":)" +
          std::to_string(now + from) + R"(,"iat":)" + std::to_string(now + from);
 }
-std::string Token(const std::string& key, const std::string& claims) {
+std::string SignToken(const std::string& key, const std::string& claims) {
   return SignCompact(Key::FromJwk(key, "key"), "{" + claims + "}");
 }
-std::string Package(const std::string& uri, const std::string& times, const std::string& key = kShared,
-                    const std::string& more = R"(,"cdniv":1)") {
-  return Token(key, times + more + R"(,"cdniuc":")" + HashContainer(kOrigin + uri) + "\"");
+// The signing package of a link to `uri` (RFC 9246).
+std::string SignPackage(const std::string& uri, const std::string& times, const std::string& key = kSharedKey,
+                        const std::string& more = R"(,"cdniv":1)") {
+  return SignToken(key, times + more + R"(,"cdniuc":")" + HashContainer(kOrigin + uri) + "\"");
 }
-std::string Signed(const std::string& uri, const std::string& package) {
+// The link with its signing package.
+std::string LinkWithPackage(const std::string& uri, const std::string& package) {
   return uri + (uri.find('?') == std::string::npos ? "?" : "&") + "URISigningPackage=" + package;
 }
 std::string Bearer(const std::string& token) { return "Authorization: Bearer " + token + "\r\n"; }
 
-std::string Health(const std::string& node, const std::string& status,
-                   const std::string& check = "service:x") {
+// An entry of Consul's response to a health query.
+std::string HealthEntry(const std::string& node, const std::string& status,
+                        const std::string& check = "service:x") {
   return R"({"Node":{"Node":")" + node + R"("},"Service":{"ID":"c"},"Checks":[{"CheckID":")" + check +
          R"(","Status":")" + status + R"("}]})";
 }
-std::string Entry(const std::string& node, const TcpListener& server) {
+// An entry of Consul's response to a catalog query.
+std::string CatalogEntry(const std::string& node, const TcpListener& server) {
   return R"({"Node":")" + node +
          R"(","Address":"127.0.0.1","ServiceID":"c","ServiceAddress":"","ServicePort":)" +
          std::to_string(server.port) + R"(,"ServiceMeta":{},"ServiceWeights":{"Passing":1}})";
 }
 
+// One real gateway with Consul, two caches and the origin played by the test. The first endpoint lists are in
+// force when the constructor returns; the second cache is listed only with `has_second_cache`.
 struct World {
-  TcpListener consul, cache, second, stock;
+  TcpListener consul, cache, second_cache, origin;
   std::string folder;
   std::unique_ptr<Program> program;
-  std::map<std::string, TcpPeer> watches;  // by service; a health query waits on each
+  std::map<std::string, TcpPeer> watches;  // by service; a blocking health query is open on each
   std::map<std::string, TcpPeer> catalogs;
-  std::string asked;  // the last health query
+  std::string last_health_query;  // the head of the last health query
   int port = 0;
 
-  explicit World(bool two = false) {
+  explicit World(bool has_second_cache = false) {
     char name[] = "/tmp/tinspan-test-XXXXXX";
     CHECK_OR_THROW(::mkdtemp(name) != nullptr);
     folder = std::string(name) + "/";
-    Write("keys.json", R"({"keys":[)" + kShared + ",{" + kPublic + "}]}");
-    Write("own.json", kOwn);
+    Write("keys.json", R"({"keys":[)" + kSharedKey + ",{" + kPublicKeyFields + "}]}");
+    Write("own.json", kGatewayKey);
     Write("operator.token", "an operator's long token\n");
     Write("consul.token", "consul-secret\n");
     Write("gateway.json",
@@ -130,11 +142,12 @@
         std::vector<std::string>{"serve", "-f", folder + "gateway.json", "--log-level", "trace"},
         std::map<std::string, std::string>{});
     port = program->Port();
-    Await();
-    Await();
-    Tell("main-stock", 3, Health("stock", "passing"), Entry("stock", stock));
-    Tell("shop-cache", 7, Health("n1", "passing") + (two ? "," + Health("n2", "warning") : ""),
-         Entry("n1", cache) + (two ? "," + Entry("n2", second) : ""));
+    AcceptWatch();
+    AcceptWatch();
+    SendList("main-stock", 3, HealthEntry("stock", "passing"), CatalogEntry("stock", origin));
+    SendList("shop-cache", 7,
+             HealthEntry("n1", "passing") + (has_second_cache ? "," + HealthEntry("n2", "warning") : ""),
+             CatalogEntry("n1", cache) + (has_second_cache ? "," + CatalogEntry("n2", second_cache) : ""));
   }
   ~World() {
     for (const char* name : {"keys.json", "own.json", "operator.token", "consul.token", "gateway.json"}) {
@@ -143,54 +156,57 @@
     ::rmdir(folder.c_str());
   }
   void Write(const std::string& name, const std::string& text) { std::ofstream(folder + name) << text; }
-  // The next watch that connects and asks.
-  void Await() {
+  // Accepts the next watch and reads its health query.
+  void AcceptWatch() {
     TcpPeer peer = consul.Accept();
-    Asked(peer);
-    const std::string service = asked.substr(23, asked.find('?') - 23);
+    ReadHealthQuery(peer);
+    const std::string service = last_health_query.substr(23, last_health_query.find('?') - 23);
     watches[service] = std::move(peer);
   }
-  void Asked(TcpPeer& peer) {
-    asked = peer.ReadUntil("\r\n\r\n");
-    CHECK_OR_THROW(asked.starts_with("GET /v1/health/service/") &&
-                   asked.find("X-Consul-Token: consul-secret") != std::string::npos);
+  void ReadHealthQuery(TcpPeer& peer) {
+    last_health_query = peer.ReadUntil("\r\n\r\n");
+    CHECK_OR_THROW(last_health_query.starts_with("GET /v1/health/service/") &&
+                   last_health_query.find("X-Consul-Token: consul-secret") != std::string::npos);
   }
-  // Answers the waiting query, and waits for the next and for the catalogue's.
-  void TellHealth(const std::string& service, int index, const std::string& health) {
+  // Answers the blocking health query, and waits for the next one and for the catalog query.
+  void SendHealth(const std::string& service, int index, const std::string& health) {
     TcpPeer& peer = watches.at(service);
-    peer.Send(Reply("200 OK", "[" + health + "]", "X-Consul-Index: " + std::to_string(index) + "\r\n"));
-    Asked(peer);
+    peer.Send(
+        EncodeResponse("200 OK", "[" + health + "]", "X-Consul-Index: " + std::to_string(index) + "\r\n"));
+    ReadHealthQuery(peer);
     if (!catalogs.contains(service)) catalogs[service] = consul.Accept();
     CHECK_OR_THROW(
         catalogs[service].ReadUntil("\r\n\r\n").starts_with("GET /v1/catalog/service/" + service + " "));
   }
-  void TellCatalog(const std::string& service, const std::string& catalog) {
-    const std::string body = "[" + catalog + "]";  // in chunks, as Consul sends longer ones
+  void SendCatalog(const std::string& service, const std::string& catalog) {
+    const std::string body = "[" + catalog + "]";  // sent in chunks, as Consul sends long responses
     char size[16];
     std::snprintf(size, sizeof size, "%zx", body.size());
     catalogs.at(service).Send(std::string("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n") + size +
                               "\r\n" + body + "\r\n0\r\n\r\n");
   }
-  // Both, and waits until the list is in force.
-  void Tell(const std::string& service, int index, const std::string& health, const std::string& catalog) {
-    TellHealth(service, index, health);
-    TellCatalog(service, catalog);
+  // Answers both queries and waits until the endpoint list is in force.
+  void SendList(const std::string& service, int index, const std::string& health,
+                const std::string& catalog) {
+    SendHealth(service, index, health);
+    SendCatalog(service, catalog);
     program->ReadLogThrough("nodes listed: " + service);
   }
   TcpPeer Client() { return TcpPeer::Connect(port); }
-  // Whether a new request goes to that server, and its answer to the client.
-  bool ServedBy(TcpListener& server) {
+  // Sends a new request; returns whether it reaches that server and its response the client.
+  bool IsServedBy(TcpListener& server) {
     TcpPeer client = Client();
-    client.Send(Get("/pages/a", Bearer(Token(kShared, Times(60)))));
+    client.Send(EncodeGet("/pages/a", Bearer(SignToken(kSharedKey, TimeClaims(60)))));
     TcpPeer peer = server.Accept();
-    Message(peer);
-    peer.Send(Reply("200 OK", "page", "Connection: close\r\n"));
-    return Read(client).body == "page";
+    ReadMessage(peer);
+    peer.Send(EncodeResponse("200 OK", "page", "Connection: close\r\n"));
+    return ReadResponse(client).body == "page";
   }
+  // The status of the response to a request on a new connection.
   int Status(const std::string& request) {
     TcpPeer client = Client();
     client.Send(request);
-    return Read(client).status;
+    return ReadResponse(client).status;
   }
 };
 
@@ -199,19 +215,20 @@
 TEST(HttpTest, ServesASignedLink) {
   World world;
   TcpPeer client = world.Client();
-  // The same object, written otherwise: what is verified is the canonical form, and it is what is fetched.
-  client.Send(Get(Signed("/x/../scans/%65state/book.jpg?page=3", Package(kScan, Times(60))),
-                  "Referer: https://a/?URISigningPackage=leak\r\nRange: bytes=0-\r\n"));
+  // The same object in another spelling: the canonical form is verified and requested from the server.
+  client.Send(
+      EncodeGet(LinkWithPackage("/x/../scans/%65state/book.jpg?page=3", SignPackage(kScan, TimeClaims(60))),
+                "Referer: https://a/?URISigningPackage=leak\r\nRange: bytes=0-\r\n"));
   TcpPeer server = world.cache.Accept();
-  const std::string asked = Message(server);
-  ASSERT_TRUE(asked.starts_with("GET " + kScan + "&URISigningPackage="));
-  ASSERT_NE(asked.find("\r\nRange: bytes=0-\r\n"), std::string::npos);
-  ASSERT_EQ(asked.find("leak"), std::string::npos);
-  ASSERT_NE(asked.find("Host: scans.example.is\r\n"), std::string::npos);
-  ASSERT_NE(asked.find("source=stock/c"), std::string::npos);
-  // Signed anew, with the gateway's key: valid since a leeway ago, until the deadline and a leeway more.
-  const std::string target = asked.substr(4, asked.find(" HTTP/1.1") - 4);
-  const auto claims = KeySet::FromJwks(R"({"keys":[)" + kOwn + "]}", "own")
+  const std::string forwarded = ReadMessage(server);
+  ASSERT_TRUE(forwarded.starts_with("GET " + kScan + "&URISigningPackage="));
+  ASSERT_NE(forwarded.find("\r\nRange: bytes=0-\r\n"), std::string::npos);
+  ASSERT_EQ(forwarded.find("leak"), std::string::npos);
+  ASSERT_NE(forwarded.find("Host: scans.example.is\r\n"), std::string::npos);
+  ASSERT_NE(forwarded.find("source=stock/c"), std::string::npos);
+  // Signed again with the gateway's key: valid from now minus the leeway to the deadline plus the leeway.
+  const std::string target = forwarded.substr(4, forwarded.find(" HTTP/1.1") - 4);
+  const auto claims = KeySet::FromJwks(R"({"keys":[)" + kGatewayKey + "]}", "own")
                           .Verify(target.substr(target.find("Package=") + 8));
   ASSERT_TRUE(claims);
   ASSERT_NE(claims->find(HashContainer(kOrigin + kScan)), std::string::npos);
@@ -224,23 +241,23 @@
   ASSERT_LE(number("\"exp\":"), now + 9);
   std::string body;
   for (int i = 0; i < 300'000; ++i) body += static_cast<char>(i * 7 + i / 256);
-  server.Send(Reply("200 OK", body, "ETag: \"e1\"\r\nCache-Status: c; hit\r\n"));
-  const Answer answer = Read(client);
-  ASSERT_EQ(answer.status, 200);
-  ASSERT_EQ(answer.body, body);
-  ASSERT_NE(answer.head.find("ETag: \"e1\""), std::string::npos);
-  // The connection goes on, on both sides; a HEAD has no body, chunks pass as they are.
-  client.Send("HEAD " + Signed(kScan, Package(kScan, Times(60))) +
+  server.Send(EncodeResponse("200 OK", body, "ETag: \"e1\"\r\nCache-Status: c; hit\r\n"));
+  const Response response = ReadResponse(client);
+  ASSERT_EQ(response.status, 200);
+  ASSERT_EQ(response.body, body);
+  ASSERT_NE(response.head.find("ETag: \"e1\""), std::string::npos);
+  // Both connections stay open. The response to HEAD has no body; chunks are forwarded unchanged.
+  client.Send("HEAD " + LinkWithPackage(kScan, SignPackage(kScan, TimeClaims(60))) +
               " HTTP/1.1\r\nHost: scans.example.is\r\n\r\n");
-  ASSERT_TRUE(Message(server).starts_with("HEAD "));
+  ASSERT_TRUE(ReadMessage(server).starts_with("HEAD "));
   server.Send("HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n");
   ASSERT_NE(client.ReadUntil("\r\n\r\n").find("Content-Length: 300000"), std::string::npos);
-  client.Send(Get(kScan, Bearer(Token(kShared, Times(60)))));
-  ASSERT_TRUE(Message(server).starts_with("GET " + kScan));
+  client.Send(EncodeGet(kScan, Bearer(SignToken(kSharedKey, TimeClaims(60)))));
+  ASSERT_TRUE(ReadMessage(server).starts_with("GET " + kScan));
   server.Send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n0\r\nT: v\r\n\r\n");
   client.ReadUntil("\r\n\r\n");
   ASSERT_EQ(client.ReadUntil("0\r\nT: v\r\n\r\n"), "3;x=y\r\nabc\r\n");
-  // No token has reached the log.
+  // No token is in the log.
   world.program->Signal(SIGTERM);
   ASSERT_EQ(world.program->Wait(), 0);
   ASSERT_EQ(world.program->log.find("eyJ"), std::string::npos);
@@ -248,27 +265,32 @@
 
 TEST(HttpTest, RejectsInvalidLinks) {
   World world;
-  const auto link = [&](const std::string& package) { return world.Status(Get(Signed(kScan, package))); };
-  const std::string good = Package(kScan, Times(60));
-  std::string forged = good;
+  const auto link = [&](const std::string& package) {
+    return world.Status(EncodeGet(LinkWithPackage(kScan, package)));
+  };
+  const std::string valid_package = SignPackage(kScan, TimeClaims(60));
+  std::string forged = valid_package;
   forged[forged.find('.') + 5] ^= 1;
   ASSERT_EQ(link(forged), 403);
-  ASSERT_EQ(link(good.substr(0, good.rfind('.') + 1)), 403);            // no signature
-  ASSERT_EQ(link(Package(kScan, Times(-6))), 403);                      // expired, outside the leeway
-  ASSERT_EQ(link(Package(kScan, Times(60, 6))), 403);                   // early, outside the leeway
-  ASSERT_EQ(link(Package("/scans/estate/other.jpg", Times(60))), 403);  // of another path
-  ASSERT_EQ(link(Package("/scans/estate/book.jpg", Times(60))), 403);   // of another query
-  ASSERT_EQ(link(Package(kScan, Times(60), kOther)), 403);              // by another key under this id
-  ASSERT_EQ(link(Package(kScan, Times(60), kNext)), 403);               // by a key that is not in the set
-  ASSERT_EQ(link(Package(kScan, Times(60), kShared, "")), 403);         // no cdniv
-  ASSERT_EQ(link(Package(kScan, Times(60), kShared, R"(,"cdniv":2)")), 403);
-  ASSERT_EQ(link(Package(kScan, Times(60), kShared, R"(,"cdniv":1,"cdnicrit":"cdniip")")), 403);
-  ASSERT_EQ(link(Package(kScan, Times(60), kShared, R"(,"cdniv":1,"aud":"south")")), 403);
-  ASSERT_EQ(link(Package(kScan, R"("iss":"shop")")), 403);  // never expires
-  ASSERT_EQ(link(Token(kShared, Times(60))), 403);          // a token is no link
-  // The algorithm is the key's: neither none, nor the public key taken for a secret, nor a critical header.
+  ASSERT_EQ(link(valid_package.substr(0, valid_package.rfind('.') + 1)), 403);  // no signature
+  ASSERT_EQ(link(SignPackage(kScan, TimeClaims(-6))), 403);                     // expired, outside the leeway
+  ASSERT_EQ(link(SignPackage(kScan, TimeClaims(60, 6))), 403);  // not valid yet, outside the leeway
+  ASSERT_EQ(link(SignPackage("/scans/estate/other.jpg", TimeClaims(60))), 403);  // for another path
+  ASSERT_EQ(link(SignPackage("/scans/estate/book.jpg", TimeClaims(60))), 403);   // for another query
+  ASSERT_EQ(link(SignPackage(kScan, TimeClaims(60), kForgedKey)), 403);  // signed by another key with this id
+  ASSERT_EQ(link(SignPackage(kScan, TimeClaims(60), kNextKey)),
+            403);  // signed by a key that is not in the set
+  ASSERT_EQ(link(SignPackage(kScan, TimeClaims(60), kSharedKey, "")), 403);  // no cdniv
+  ASSERT_EQ(link(SignPackage(kScan, TimeClaims(60), kSharedKey, R"(,"cdniv":2)")), 403);
+  ASSERT_EQ(link(SignPackage(kScan, TimeClaims(60), kSharedKey, R"(,"cdniv":1,"cdnicrit":"cdniip")")), 403);
+  ASSERT_EQ(link(SignPackage(kScan, TimeClaims(60), kSharedKey, R"(,"cdniv":1,"aud":"south")")), 403);
+  ASSERT_EQ(link(SignPackage(kScan, R"("iss":"shop")")), 403);  // never expires
+  ASSERT_EQ(link(SignToken(kSharedKey, TimeClaims(60))), 403);  // a bearer token is no signing package
+  // The algorithm must be that of the key: "none", a public key used as a shared secret, and unknown critical
+  // headers are rejected.
   const auto forge = [&](const std::string& header, const std::string& secret) {
-    const std::string payload = good.substr(good.find('.') + 1, good.rfind('.') - good.find('.') - 1);
+    const std::string payload = valid_package.substr(valid_package.find('.') + 1,
+                                                     valid_package.rfind('.') - valid_package.find('.') - 1);
     const std::string input = tinspan::http::Base64Url(header) + "." + payload;
     if (secret.empty()) return input + ".";
     const std::string jwk =
@@ -276,50 +298,57 @@
     return input + "." + tinspan::http::Base64Url(Key::FromJwk(jwk, "x").Sign(input));
   };
   ASSERT_EQ(link(forge(R"({"alg":"none","kid":"shared-1"})", "")), 403);
-  ASSERT_EQ(link(forge(R"({"alg":"HS256","kid":"pair-1"})", "{" + kPublic + "}")), 403);
-  const std::string secret = *tinspan::http::FromBase64Url(kShared.substr(kShared.find("\"k\":\"") + 5, 86));
+  ASSERT_EQ(link(forge(R"({"alg":"HS256","kid":"pair-1"})", "{" + kPublicKeyFields + "}")), 403);
+  const std::string secret =
+      *tinspan::http::FromBase64Url(kSharedKey.substr(kSharedKey.find("\"k\":\"") + 5, 86));
   ASSERT_EQ(link(forge(R"({"alg":"HS256","kid":"shared-1","crit":["b64"],"b64":true})", secret)), 403);
-  ASSERT_EQ(link(forge(R"({"alg":"HS256"})", secret)), 403);  // names no key
-  ASSERT_EQ(world.Status(Get(Signed(Signed(kScan, good), good))), 400);
-  ASSERT_EQ(world.Status(Get(Signed("/scans/estate%2Fbook.jpg?page=3", good))), 400);
-  ASSERT_EQ(world.Status("GET " + Signed(kScan, good) + " HTTP/1.1\r\nHost: elsewhere.example\r\n\r\n"), 421);
-  ASSERT_EQ(world.Status(Get("/nowhere")), 404);
-  ASSERT_TRUE(world.cache.HasNoConnectionFor(0));  // nothing of all this was asked for
+  ASSERT_EQ(link(forge(R"({"alg":"HS256"})", secret)), 403);  // no key id
+  ASSERT_EQ(world.Status(EncodeGet(LinkWithPackage(LinkWithPackage(kScan, valid_package), valid_package))),
+            400);
+  ASSERT_EQ(world.Status(EncodeGet(LinkWithPackage("/scans/estate%2Fbook.jpg?page=3", valid_package))), 400);
+  ASSERT_EQ(world.Status("GET " + LinkWithPackage(kScan, valid_package) +
+                         " HTTP/1.1\r\nHost: elsewhere.example\r\n\r\n"),
+            421);
+  ASSERT_EQ(world.Status(EncodeGet("/nowhere")), 404);
+  ASSERT_TRUE(world.cache.HasNoConnectionFor(0));  // none of these was forwarded
 }
 
 TEST(HttpTest, AllowsForClockSkew) {
   World world;
   TcpPeer client = world.Client(), server;
-  const std::string regex = Token(
-      kShared, Times(60) + R"(,"cdniv":1,"cdniuc":"regex:https://scans\\.example\\.is/scans/estate/.*")");
+  const std::string regex = SignToken(
+      kSharedKey,
+      TimeClaims(60) + R"(,"cdniv":1,"cdniuc":"regex:https://scans\\.example\\.is/scans/estate/.*")");
   bool first = true;
   for (const std::string& package :
-       {Package(kScan, Times(-3)), Package(kScan, Times(60, 3)), Package(kScan, Times(60), kPair), regex}) {
-    client.Send(Get(Signed(kScan, package)));
+       {SignPackage(kScan, TimeClaims(-3)), SignPackage(kScan, TimeClaims(60, 3)),
+        SignPackage(kScan, TimeClaims(60), kKeyPair), regex}) {
+    client.Send(EncodeGet(LinkWithPackage(kScan, package)));
     if (std::exchange(first, false)) server = world.cache.Accept();
-    Message(server);
-    server.Send(Reply("200 OK", "scan"));
-    ASSERT_EQ(Read(client).body, "scan");
+    ReadMessage(server);
+    server.Send(EncodeResponse("200 OK", "scan"));
+    ASSERT_EQ(ReadResponse(client).body, "scan");
   }
 }
 
-// A link that expires while its scan is halfway sent: the transfer is finished, a new request is refused.
+// A link expires while its response is being transferred: the transfer is completed, a new request is
+// rejected.
 TEST(HttpTest, CompletesATransferThatOutlivesItsLink) {
   World world;
   TcpPeer client = world.Client();
-  const std::string request =
-      Get(Signed(kScan, Package(kScan, Times(-3.5))));  // within the leeway for 1.5 s more
+  const std::string request = EncodeGet(
+      LinkWithPackage(kScan, SignPackage(kScan, TimeClaims(-3.5))));  // within the leeway for 1.5 s more
   client.Send(request);
   TcpPeer server = world.cache.Accept();
-  Message(server);
+  ReadMessage(server);
   server.Send("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nhalf");
   client.ReadUntil("\r\n\r\n");
   ASSERT_EQ(client.ReadExactly(4), "half");
   for (const auto end = UnixMs() + kWaitLimitMs; world.Status(request) != 403;) {
     ASSERT_LT(UnixMs(), end);
-    TcpPeer more = world.cache.Accept();  // still good: answered, and tried again
-    Message(more);
-    more.Send(Reply("200 OK", "", "Connection: close\r\n"));
+    TcpPeer more = world.cache.Accept();  // still valid: answer it and try again
+    ReadMessage(more);
+    more.Send(EncodeResponse("200 OK", "", "Connection: close\r\n"));
   }
   server.Send("done");
   ASSERT_EQ(client.ReadExactly(4), "done");
@@ -328,89 +357,93 @@
 TEST(HttpTest, ChecksTokens) {
   World world;
   TcpPeer client = world.Client();
-  client.Send(Get("/pages/a"));
-  Answer answer = Read(client);
-  ASSERT_EQ(answer.status, 401);
-  ASSERT_NE(answer.head.find("WWW-Authenticate: Bearer realm=\"north\"\r\n"), std::string::npos);
-  for (const std::string& bad :
-       {Token(kShared, Times(-6)), Token(kOther, Times(60)), Token(kNext, Times(60)),
-        Package("/pages/a", Times(60)), Token(kShared, Times(60) + R"(,"aud":["south"])")}) {
-    client.Send(Get("/pages/a", Bearer(bad)));
-    answer = Read(client);
-    ASSERT_EQ(answer.status, 401);
-    ASSERT_NE(answer.head.find("error=\"invalid_token\""), std::string::npos);
+  client.Send(EncodeGet("/pages/a"));
+  Response response = ReadResponse(client);
+  ASSERT_EQ(response.status, 401);
+  ASSERT_NE(response.head.find("WWW-Authenticate: Bearer realm=\"north\"\r\n"), std::string::npos);
+  for (const std::string& invalid_token :
+       {SignToken(kSharedKey, TimeClaims(-6)), SignToken(kForgedKey, TimeClaims(60)),
+        SignToken(kNextKey, TimeClaims(60)), SignPackage("/pages/a", TimeClaims(60)),
+        SignToken(kSharedKey, TimeClaims(60) + R"(,"aud":["south"])")}) {
+    client.Send(EncodeGet("/pages/a", Bearer(invalid_token)));
+    response = ReadResponse(client);
+    ASSERT_EQ(response.status, 401);
+    ASSERT_NE(response.head.find("error=\"invalid_token\""), std::string::npos);
   }
-  client.Send(Get("/pages/a", Bearer(Token(kPair, Times(60) + R"(,"aud":["south","north"])"))));
+  client.Send(
+      EncodeGet("/pages/a", Bearer(SignToken(kKeyPair, TimeClaims(60) + R"(,"aud":["south","north"])"))));
   TcpPeer server = world.cache.Accept();
-  const std::string asked = Message(server);
-  ASSERT_EQ(asked.find("Authorization: Bearer "),
-            asked.rfind("Authorization:"));  // ours in place of the client's
-  ASSERT_EQ(asked.find(kPair), std::string::npos);
-  server.Send(Reply("404 Not Found", "no such page"));
-  ASSERT_EQ(Read(client).body, "no such page");
-  // Rotation: the next key comes in, the first goes.
-  world.Write("keys.json", R"({"keys":[)" + kNext + "]}");
+  const std::string forwarded = ReadMessage(server);
+  ASSERT_EQ(forwarded.find("Authorization: Bearer "),
+            forwarded.rfind("Authorization:"));  // the gateway's token replaces the client's
+  ASSERT_EQ(forwarded.find(kKeyPair), std::string::npos);
+  server.Send(EncodeResponse("404 Not Found", "no such page"));
+  ASSERT_EQ(ReadResponse(client).body, "no such page");
+  // Key rotation: the key set now holds only the next key.
+  world.Write("keys.json", R"({"keys":[)" + kNextKey + "]}");
   world.program->Signal(SIGHUP);
   world.program->ReadLogThrough("keys read again");
-  ASSERT_EQ(world.Status(Get("/pages/a", Bearer(Token(kShared, Times(60))))), 401);
-  client.Send(Get("/pages/a", Bearer(Token(kNext, Times(60)))));
-  Message(server);
-  server.Send(Reply("200 OK", "page"));
-  ASSERT_EQ(Read(client).body, "page");
+  ASSERT_EQ(world.Status(EncodeGet("/pages/a", Bearer(SignToken(kSharedKey, TimeClaims(60))))), 401);
+  client.Send(EncodeGet("/pages/a", Bearer(SignToken(kNextKey, TimeClaims(60)))));
+  ReadMessage(server);
+  server.Send(EncodeResponse("200 OK", "page"));
+  ASSERT_EQ(ReadResponse(client).body, "page");
 }
 
-std::string Order(const std::string& key, const std::string& body) {
-  return "POST /orders HTTP/1.1\r\nHost: scans.example.is\r\n" + Bearer(Token(kShared, Times(60))) + key +
+std::string EncodeOrder(const std::string& key, const std::string& body) {
+  return "POST /orders HTTP/1.1\r\nHost: scans.example.is\r\n" +
+         Bearer(SignToken(kSharedKey, TimeClaims(60))) + key +
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
 TEST(HttpTest, ForwardsOrders) {
   World world;
-  ASSERT_EQ(world.Status(Order("", "one copy")), 400);  // no key
-  ASSERT_EQ(world.Status(Get("/orders", Bearer(Token(kShared, Times(60))))), 405);
+  ASSERT_EQ(world.Status(EncodeOrder("", "one copy")), 400);  // no key
+  ASSERT_EQ(world.Status(EncodeGet("/orders", Bearer(SignToken(kSharedKey, TimeClaims(60))))), 405);
   TcpPeer client = world.Client();
-  client.Send(Order("Idempotency-Key: \"k-1\"\r\n", "one copy"));
+  client.Send(EncodeOrder("Idempotency-Key: \"k-1\"\r\n", "one copy"));
   TcpPeer server = world.cache.Accept();
   std::string body;
-  const std::string asked = Message(server, &body);
-  ASSERT_TRUE(asked.starts_with("POST /orders HTTP/1.1"));
-  ASSERT_NE(asked.find("Idempotency-Key: \"k-1\"\r\n"), std::string::npos);
+  const std::string forwarded = ReadMessage(server, &body);
+  ASSERT_TRUE(forwarded.starts_with("POST /orders HTTP/1.1"));
+  ASSERT_NE(forwarded.find("Idempotency-Key: \"k-1\"\r\n"), std::string::npos);
   ASSERT_EQ(body, "one copy");
-  ASSERT_NE(asked.find("source=stock/c"), std::string::npos);
-  server.Send(Reply("201 Created", "reserved"));
-  ASSERT_EQ(Read(client).status, 201);
+  ASSERT_NE(forwarded.find("source=stock/c"), std::string::npos);
+  server.Send(EncodeResponse("201 Created", "reserved"));
+  ASSERT_EQ(ReadResponse(client).status, 201);
 }
 
-// What a server answers, or does, and what the client is told.
+// Each response or failure of a server leads to a certain status for the client.
 TEST(HttpTest, MapsUpstreamFailuresToStatuses) {
-  const auto play = [](const std::function<void(TcpPeer&)>& act) {
-    World world;  // a new one each: the module remembers a server's failures
+  const auto response_after = [](const std::function<void(TcpPeer&)>& act) {
+    World world;  // a new one each time: the decision module remembers a server's failures
     TcpPeer client = world.Client();
-    client.Send(Get("/pages/a", Bearer(Token(kShared, Times(60)))));
-    while (client.IsSilentFor(10)) {  // as many attempts as the module makes, wherever it makes them
-      for (TcpListener* const at : {&world.cache, &world.stock}) {
-        if (at->HasNoConnectionFor(0)) continue;
-        TcpPeer server = at->Accept();
-        Message(server);
+    client.Send(EncodeGet("/pages/a", Bearer(SignToken(kSharedKey, TimeClaims(60)))));
+    while (client.IsSilentFor(10)) {  // as many attempts as the decision module makes, at either server
+      for (TcpListener* const listener : {&world.cache, &world.origin}) {
+        if (listener->HasNoConnectionFor(0)) continue;
+        TcpPeer server = listener->Accept();
+        ReadMessage(server);
         act(server);
-        client.IsSilentFor(50);  // whatever comes of it
+        client.IsSilentFor(50);  // time for the client's response to arrive; the loop condition checks for it
       }
     }
-    return Read(client);
+    return ReadResponse(client);
   };
   const auto reply = [](const std::string& status) {
-    return [=](TcpPeer& s) { s.Send(Reply(status, "", "Connection: close\r\n")); };
+    return [=](TcpPeer& server) { server.Send(EncodeResponse(status, "", "Connection: close\r\n")); };
   };
-  ASSERT_EQ(play(reply("401 Unauthorized")).status, 502);  // our signature, not the client's
-  ASSERT_EQ(play(reply("403 Forbidden")).status, 502);
-  const Answer full = play(reply("429 Too Many Requests"));
-  ASSERT_EQ(full.status, 503);
-  ASSERT_NE(full.head.find("Retry-After: 2\r\n"), std::string::npos);
-  ASSERT_EQ(play([](TcpPeer& s) { s.Reset(); }).status, 503);
-  ASSERT_EQ(play([](TcpPeer& s) { s.Send("HTTP/1.1 200 OK\r\n\r\nno end"); }).status,
-            503);  // an end that does not show
-  ASSERT_EQ(play([](TcpPeer& s) {
-              s.Send("HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n");
+  ASSERT_EQ(response_after(reply("401 Unauthorized")).status,
+            502);  // the gateway's signature is at fault, not the client's
+  ASSERT_EQ(response_after(reply("403 Forbidden")).status, 502);
+  const Response overloaded = response_after(reply("429 Too Many Requests"));
+  ASSERT_EQ(overloaded.status, 503);
+  ASSERT_NE(overloaded.head.find("Retry-After: 2\r\n"), std::string::npos);
+  ASSERT_EQ(response_after([](TcpPeer& server) { server.Reset(); }).status, 503);
+  ASSERT_EQ(response_after([](TcpPeer& server) { server.Send("HTTP/1.1 200 OK\r\n\r\nno end"); }).status,
+            503);  // the end of the body cannot be determined
+  ASSERT_EQ(response_after([](TcpPeer& server) {
+              server.Send("HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n");
             }).status,
             503);
 }
@@ -419,24 +452,24 @@
   World world;
   TcpPeer client = world.Client();
   const auto start = UnixMs();
-  client.Send(Order("Idempotency-Key: k\r\n", ""));
+  client.Send(EncodeOrder("Idempotency-Key: k\r\n", ""));
   TcpPeer server = world.cache.Accept();
-  Message(server);
-  const Answer answer = Read(client);
-  ASSERT_EQ(answer.status, 504);
+  ReadMessage(server);
+  const Response response = ReadResponse(client);
+  ASSERT_EQ(response.status, 504);
   ASSERT_LT(UnixMs() - start, 1'550);
-  ASSERT_TRUE(server.ReadToEnd().empty());  // given up on the wire as well
+  ASSERT_TRUE(server.ReadToEnd().empty());  // the attempt's connection is closed as well
 }
 
-// A begun answer that breaks, or stops moving, is seen as broken: short of its length, and the connection
-// ends.
+// A response that breaks off or stalls must be recognizable as truncated: the client gets less than
+// Content-Length and the connection ends.
 TEST(HttpTest, BreaksOffATruncatedResponse) {
   World world;
   for (const bool silent : {false, true}) {
     TcpPeer client = world.Client();
-    client.Send(Get("/pages/a", Bearer(Token(kShared, Times(60)))));
+    client.Send(EncodeGet("/pages/a", Bearer(SignToken(kSharedKey, TimeClaims(60)))));
     TcpPeer server = world.cache.Accept();
-    Message(server);
+    ReadMessage(server);
     server.Send("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
     client.ReadUntil("\r\n\r\n");
     ASSERT_EQ(client.ReadExactly(4), "half");
@@ -445,20 +478,21 @@
   }
 }
 
-// A client that stops reading holds its server back; all arrives once it reads again.
+// While a client does not read, the gateway stops reading from the server. Once it reads again, all data
+// arrives.
 TEST(HttpTest, AppliesBackpressureToServers) {
   World world;
   TcpPeer client = world.Client();
-  client.Send(Get("/pages/a", Bearer(Token(kShared, Times(60)))));
+  client.Send(EncodeGet("/pages/a", Bearer(SignToken(kSharedKey, TimeClaims(60)))));
   TcpPeer server = world.cache.Accept();
-  Message(server);
+  ReadMessage(server);
   const std::size_t total = 64 << 20;
   server.Send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(total) + "\r\n\r\n");
   const std::string block(1 << 20, 'x');
   const std::size_t pushed = server.SendUntilBlocked(block, total);
-  ASSERT_LT(pushed, total);  // the gateway does not take it all in
+  ASSERT_LT(pushed, total);  // the gateway does not buffer all of it
   client.ReadUntil("\r\n\r\n");
-  for (std::size_t sent = pushed, got = 0; got < total; got += 1 << 20) {
+  for (std::size_t sent = pushed, received = 0; received < total; received += 1 << 20) {
     if (sent < total) sent += server.SendUntilBlocked(block, total - sent);
     client.ReadExactly(1 << 20);
   }
@@ -466,73 +500,78 @@
 
 TEST(HttpTest, FollowsConsul) {
   World world(true);
-  ASSERT_NE(world.asked.find("?index=7&wait=30s"), std::string::npos);
-  const auto served_by = [&](TcpListener& server) { return world.ServedBy(server); };
-  // In maintenance it drains, critical is gone; warning is up. Either way the other one serves.
-  const std::string both = Entry("n1", world.cache) + "," + Entry("n2", world.second);
-  world.Tell("shop-cache", 8,
-             Health("n1", "critical", "_service_maintenance:c") + "," + Health("n2", "warning"), both);
-  ASSERT_TRUE(served_by(world.second));
-  world.Tell("shop-cache", 9, Health("n1", "passing") + "," + Health("n2", "critical"), both);
+  ASSERT_NE(world.last_health_query.find("?index=7&wait=30s"), std::string::npos);
+  const auto served_by = [&](TcpListener& server) { return world.IsServedBy(server); };
+  // A node in maintenance drains, a critical node is removed, a node with a warning is up. In both cases the
+  // other node serves.
+  const std::string both = CatalogEntry("n1", world.cache) + "," + CatalogEntry("n2", world.second_cache);
+  world.SendList("shop-cache", 8,
+                 HealthEntry("n1", "critical", "_service_maintenance:c") + "," + HealthEntry("n2", "warning"),
+                 both);
+  ASSERT_TRUE(served_by(world.second_cache));
+  world.SendList("shop-cache", 9, HealthEntry("n1", "passing") + "," + HealthEntry("n2", "critical"), both);
   ASSERT_TRUE(served_by(world.cache));
-  world.Tell("shop-cache", 10, Health("n1", "passing"), Entry("n1", world.cache));  // absent is gone
+  world.SendList("shop-cache", 10, HealthEntry("n1", "passing"),
+                 CatalogEntry("n1", world.cache));  // a node that is not listed is removed
   ASSERT_TRUE(served_by(world.cache));
-  // An index that goes back starts over.
-  world.Tell("shop-cache", 4, Health("n1", "passing"), Entry("n1", world.cache));
-  ASSERT_NE(world.asked.find("?index=0&"), std::string::npos);
-  // A query that fails keeps the list, and is tried again.
-  world.watches.at("shop-cache").Send(Reply("500 Internal Server Error", "no leader"));
-  world.Await();
+  // After an index that decreased, the next query starts again from 0.
+  world.SendList("shop-cache", 4, HealthEntry("n1", "passing"), CatalogEntry("n1", world.cache));
+  ASSERT_NE(world.last_health_query.find("?index=0&"), std::string::npos);
+  // After a failed query the list stays in force and the query is repeated.
+  world.watches.at("shop-cache").Send(EncodeResponse("500 Internal Server Error", "no leader"));
+  world.AcceptWatch();
   ASSERT_TRUE(served_by(world.cache));
   world.watches.at("shop-cache").Reset();
-  world.Await();
+  world.AcceptWatch();
   ASSERT_TRUE(served_by(world.cache));
 }
 
-// What health says of nodes that are known holds at once, though the catalogue's answer never comes, and the
-// next word of health is heard meanwhile; the catalogue's answer still counts when it comes.
+// Health of known nodes is applied at once, even if the catalog never responds, and further health responses
+// are applied meanwhile. The catalog's response is still applied when it comes.
 TEST(HttpTest, AppliesHealthBeforeTheCatalog) {
   World world(true);
-  const auto served_by = [&](TcpListener& server) { return world.ServedBy(server); };
-  const auto told = [&] { world.program->ReadLogThrough("shop-cache: 1 changes"); };
-  world.TellHealth("shop-cache", 8, Health("n1", "critical") + "," + Health("n2", "passing"));
-  told();
-  ASSERT_TRUE(served_by(world.second));
+  const auto served_by = [&](TcpListener& server) { return world.IsServedBy(server); };
+  const auto wait_for_changes = [&] { world.program->ReadLogThrough("shop-cache: 1 changes"); };
+  world.SendHealth("shop-cache", 8, HealthEntry("n1", "critical") + "," + HealthEntry("n2", "passing"));
+  wait_for_changes();
+  ASSERT_TRUE(served_by(world.second_cache));
   ASSERT_TRUE(world.cache.HasNoConnectionFor(0));
-  TcpPeer& watch = world.watches.at("shop-cache");  // the catalogue is still silent
-  watch.Send(Reply("200 OK",
-                   "[" + Health("n1", "critical") + "," + Health("n2", "critical", "_node_maintenance") + "]",
-                   "X-Consul-Index: 9\r\n"));
-  told();
-  ASSERT_TRUE(served_by(world.stock));
-  ASSERT_TRUE(world.second.HasNoConnectionFor(0));
-  world.Asked(watch);
-  ASSERT_NE(world.asked.find("?index=9&"), std::string::npos);
-  watch.Send(Reply("200 OK", "[" + Health("n1", "passing") + "," + Health("n2", "critical") + "]",
-                   "X-Consul-Index: 10\r\n"));
-  told();
-  world.Asked(watch);
-  // n1 was gone: only the catalogue tells whether it has come back where it was.
-  const std::string both = Entry("n1", world.cache) + "," + Entry("n2", world.second);
-  world.TellCatalog("shop-cache", both);
-  told();
-  // Health has changed since that was asked: it is asked again.
+  TcpPeer& watch = world.watches.at("shop-cache");  // the catalog query is still unanswered
+  watch.Send(EncodeResponse(
+      "200 OK",
+      "[" + HealthEntry("n1", "critical") + "," + HealthEntry("n2", "critical", "_node_maintenance") + "]",
+      "X-Consul-Index: 9\r\n"));
+  wait_for_changes();
+  ASSERT_TRUE(served_by(world.origin));
+  ASSERT_TRUE(world.second_cache.HasNoConnectionFor(0));
+  world.ReadHealthQuery(watch);
+  ASSERT_NE(world.last_health_query.find("?index=9&"), std::string::npos);
+  watch.Send(EncodeResponse("200 OK",
+                            "[" + HealthEntry("n1", "passing") + "," + HealthEntry("n2", "critical") + "]",
+                            "X-Consul-Index: 10\r\n"));
+  wait_for_changes();
+  world.ReadHealthQuery(watch);
+  // n1 was removed: only the catalog tells whether it is back at its address.
+  const std::string both = CatalogEntry("n1", world.cache) + "," + CatalogEntry("n2", world.second_cache);
+  world.SendCatalog("shop-cache", both);
+  wait_for_changes();
+  // Health has changed since that catalog query: the catalog is queried again.
   ASSERT_TRUE(world.catalogs.at("shop-cache").ReadUntil("\r\n\r\n").starts_with("GET /v1/catalog/service/"));
 }
 
-// What comes after the first list has just started, cold: without a figure yet of what one bears the module
-// asks the main stock in its place.
+// A node that appears after the first list is new and its cache is cold. As long as its capacity is unknown,
+// the decision module sends its requests to the origin.
 TEST(HttpTest, WarmsUpNewNodes) {
   World world;
-  world.Tell("shop-cache", 8, Health("n1", "critical") + "," + Health("n2", "passing"),
-             Entry("n1", world.cache) + "," + Entry("n2", world.second));
+  world.SendList("shop-cache", 8, HealthEntry("n1", "critical") + "," + HealthEntry("n2", "passing"),
+                 CatalogEntry("n1", world.cache) + "," + CatalogEntry("n2", world.second_cache));
   TcpPeer client = world.Client();
-  client.Send(Get("/pages/a", Bearer(Token(kShared, Times(60)))));
-  TcpPeer stock = world.stock.Accept();
-  Message(stock);
-  stock.Send(Reply("200 OK", "page"));
-  ASSERT_EQ(Read(client).body, "page");
-  ASSERT_TRUE(world.second.HasNoConnectionFor(0));
+  client.Send(EncodeGet("/pages/a", Bearer(SignToken(kSharedKey, TimeClaims(60)))));
+  TcpPeer origin = world.origin.Accept();
+  ReadMessage(origin);
+  origin.Send(EncodeResponse("200 OK", "page"));
+  ASSERT_EQ(ReadResponse(client).body, "page");
+  ASSERT_TRUE(world.second_cache.HasNoConnectionFor(0));
 }
 
 TEST(HttpTest, PurgesForOperators) {
@@ -543,92 +582,95 @@
   };
   const std::string body = R"({"object":"/scans/estate/book.jpg?page=3"})";
   ASSERT_EQ(purge("a guess of the same size", body), 401);
-  ASSERT_EQ(purge(Token(kShared, Times(60)), body), 401);  // a client's token is none of an operator's
+  ASSERT_EQ(purge(SignToken(kSharedKey, TimeClaims(60)), body),
+            401);  // a client's token is not an operator's
   ASSERT_EQ(purge("an operator's long token", R"({"colour":1})"), 400);
-  ASSERT_EQ(world.Status(Get("/-/healthy")), 200);
+  ASSERT_EQ(world.Status(EncodeGet("/-/healthy")), 200);
   ASSERT_EQ(purge("an operator's long token", body), 204);
   const auto start = UnixMs();
   while (UnixMs() < start + 1'100) ::usleep(10'000);
   TcpPeer client = world.Client();
-  client.Send(Get(Signed(kScan, Package(kScan, Times(60)))));
+  client.Send(EncodeGet(LinkWithPackage(kScan, SignPackage(kScan, TimeClaims(60)))));
   TcpPeer server = world.cache.Accept();
-  const std::string asked = Message(server);
-  ASSERT_NE(asked.find("Cache-Control: max-age=1\r\n"), std::string::npos);
-  server.Send(Reply("200 OK", "old", "Age: 60\r\n"));  // from before the purge: not passed on
-  TcpPeer next = world.stock.Accept();
-  Message(next);
-  next.Send(Reply("200 OK", "new"));
-  ASSERT_EQ(Read(client).body, "new");
+  const std::string forwarded = ReadMessage(server);
+  ASSERT_NE(forwarded.find("Cache-Control: max-age=1\r\n"), std::string::npos);
+  server.Send(EncodeResponse("200 OK", "old", "Age: 60\r\n"));  // older than the purge: not forwarded
+  TcpPeer next = world.origin.Accept();
+  ReadMessage(next);
+  next.Send(EncodeResponse("200 OK", "new"));
+  ASSERT_EQ(ReadResponse(client).body, "new");
 }
 
-// Where two readers could disagree on where a message ends, or it is too large: refused, and the connection
-// ends.
-// A client with a request open that pipelines more than a buffer and goes: its request is given up at once,
-// though the end stands behind what is not read.
+// A client with a request in flight pipelines more than one read buffer holds and disconnects: its attempt is
+// cancelled at once, although the end of the connection is behind unread input.
 TEST(HttpTest, AbortsAttemptsOfADisconnectedClient) {
   World world;
   TcpPeer client = world.Client();
-  client.Send(Get(kScan, Bearer(Token(kShared, Times(60)))));
+  client.Send(EncodeGet(kScan, Bearer(SignToken(kSharedKey, TimeClaims(60)))));
   TcpPeer server = world.cache.Accept();
-  Message(server);
+  ReadMessage(server);
   const std::string more(200'000, 'x');
   ASSERT_GT(client.SendUntilBlocked(more, more.size()), 0);
-  const auto left = UnixMs();
+  const auto closed_at = UnixMs();
   client.Reset();
   ASSERT_TRUE(server.ReadToEnd().empty());
-  ASSERT_LT(UnixMs() - left, 700);  // not at the deadline, 1.5 s from the start
+  ASSERT_LT(UnixMs() - closed_at, 700);  // not at the deadline, 1.5 s from the start
 }
 
-// A request of which a piece comes just when the gateway ends accepting, and the rest after it, is answered.
+// During a shutdown, a part of a request arrives just when the gateway stops accepting, and the rest later:
+// the request is answered.
 TEST(HttpTest, ReceivesARequestStillBeingWrittenDuringShutdown) {
   World world;
   TcpPeer client = world.Client(), other = world.Client();
-  const std::string request = Get(kScan, Bearer(Token(kShared, Times(60))));
+  const std::string request = EncodeGet(kScan, Bearer(SignToken(kSharedKey, TimeClaims(60))));
   client.Send(request.substr(0, 10));
-  other.Send(Get("/-/healthy"));
-  ASSERT_EQ(Read(other).status, 200);
+  other.Send(EncodeGet("/-/healthy"));
+  ASSERT_EQ(ReadResponse(other).status, 200);
   world.program->Signal(SIGTERM);
   world.program->ReadLogThrough("stopping");
   {
     const StoppedProgram stopped(*world.program);
     std::this_thread::sleep_for(std::chrono::milliseconds(800));  // past the end of accepting
     client.Send(request.substr(10, 10));
-    other.Send(Get("/-/healthy"));
+    other.Send(EncodeGet("/-/healthy"));
   }
-  ASSERT_EQ(Read(other).status, 503);  // the round in which accepting ended has come
+  ASSERT_EQ(ReadResponse(other).status, 503);  // the event loop iteration that ends accepting has run
   client.Send(request.substr(20));
   TcpPeer server = world.cache.Accept();
-  Message(server);
-  server.Send(Reply("200 OK", "page"));
-  ASSERT_EQ(Read(client).body, "page");
+  ReadMessage(server);
+  server.Send(EncodeResponse("200 OK", "page"));
+  ASSERT_EQ(ReadResponse(client).body, "page");
   client.Close();
   ASSERT_EQ(world.program->Wait(), 0);
 }
 
+// Messages that are too large, or whose end two parsers could see at different places, are rejected, and the
+// connection ends.
 TEST(HttpTest, RejectsAmbiguousMessages) {
   World world;
   const std::string host = "Host: scans.example.is\r\n";
-  const auto refused = [&](const std::string& request) {
+  const auto rejected_status = [&](const std::string& request) {
     TcpPeer client = world.Client();
     client.Send(request);
-    const int status = Read(client).status;
+    const int status = ReadResponse(client).status;
     CHECK_OR_THROW(client.ReadToEnd().empty());
     return status;
   };
   const std::string post = "POST /orders HTTP/1.1\r\n" + host;
-  ASSERT_EQ(refused(post + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), 400);
-  ASSERT_EQ(refused(post + "Content-Length: 5\r\nContent-Length: 6\r\n\r\nhello"), 400);
-  ASSERT_EQ(refused(post + "Content-Length: +5\r\n\r\nhello"), 400);
-  ASSERT_EQ(refused(post + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), 411);
-  ASSERT_EQ(refused(post + "Content-Length: 48001\r\n\r\n"), 413);
-  ASSERT_EQ(refused("GET / HTTP/1.1\r\n\r\n"), 400);
-  ASSERT_EQ(refused("GET / HTTP/1.1\r\n" + host + host + "\r\n"), 400);
-  ASSERT_EQ(refused("GET / HTTP/1.1\r\n" + host + " folded\r\n\r\n"), 400);
-  ASSERT_EQ(refused("GET / HTTP/1.1\r\n" + host + "A : b\r\n\r\n"), 400);
-  ASSERT_EQ(refused("GET / HTTP/1.1\r\n" + host + "A: b\nC: d\r\n\r\n"), 400);
-  ASSERT_EQ(refused("GET / HTTP/1.0\r\n" + host + "\r\n"), 505);
-  ASSERT_EQ(refused("GET /" + std::string(9'000, 'a') + " HTTP/1.1\r\n" + host + "\r\n"), 414);
-  ASSERT_EQ(refused("GET / HTTP/1.1\r\n" + host + "A: " + std::string(30'000, 'a') + "\r\n\r\n"), 431);
+  ASSERT_EQ(rejected_status(post + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), 400);
+  ASSERT_EQ(rejected_status(post + "Content-Length: 5\r\nContent-Length: 6\r\n\r\nhello"), 400);
+  ASSERT_EQ(rejected_status(post + "Content-Length: +5\r\n\r\nhello"), 400);
+  ASSERT_EQ(rejected_status(post + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), 411);
+  ASSERT_EQ(rejected_status(post + "Content-Length: 48001\r\n\r\n"), 413);
+  ASSERT_EQ(rejected_status("GET / HTTP/1.1\r\n\r\n"), 400);
+  ASSERT_EQ(rejected_status("GET / HTTP/1.1\r\n" + host + host + "\r\n"), 400);
+  ASSERT_EQ(rejected_status("GET / HTTP/1.1\r\n" + host + " folded\r\n\r\n"), 400);
+  ASSERT_EQ(rejected_status("GET / HTTP/1.1\r\n" + host + "A : b\r\n\r\n"), 400);
+  ASSERT_EQ(rejected_status("GET / HTTP/1.1\r\n" + host + "A: b\nC: d\r\n\r\n"), 400);
+  ASSERT_EQ(rejected_status("GET / HTTP/1.0\r\n" + host + "\r\n"), 505);
+  ASSERT_EQ(rejected_status("GET /" + std::string(9'000, 'a') + " HTTP/1.1\r\n" + host + "\r\n"), 414);
+  ASSERT_EQ(rejected_status("GET / HTTP/1.1\r\n" + host + "A: " + std::string(30'000, 'a') + "\r\n\r\n"),
+            431);
 }
 
 }  // namespace
--- a/tests/net/kv_standin.hpp
+++ b/tests/net/kv_standin.hpp
@@ -1,5 +1,5 @@
-// A key-value store played by the test, from the public description of Consul's KV endpoint: GET and PUT
-// /v1/kv/KEY with `cas` and `flags`. It keeps one record and the history of all that was written.
+// Stand-in for a key-value store, after the public description of Consul's KV endpoint: GET and PUT
+// /v1/kv/KEY with `cas` and `flags`. It stores one record and the history of all writes.
 #pragma once
 
 #include <atomic>
@@ -9,12 +9,12 @@
 #include "harness.hpp"
 #include "lease/history.hpp"
 
-/// The store, with a thread of its own.
-class KvStandin {
+/// The store; it serves on its own thread. The public functions may be called from the test's thread.
+class KvStandIn {
  public:
-  KvStandin() : thread_([this] { Run(); }) {}
-  ~KvStandin() {
-    stop_ = true;
+  KvStandIn() : thread_([this] { Run(); }) {}
+  ~KvStandIn() {
+    is_stopping_ = true;
     thread_.Join();
   }
   std::string Address() const { return server_.Address(); }
@@ -26,28 +26,29 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     return record_;
   }
-  // What is broken in the order of all that was taken, in words; and how many writes were refused.
-  std::optional<std::string> Broken() const {
+  // Describes the first violation of the write order; nullopt if there is none.
+  std::optional<std::string> WriteViolation() const {
     const std::lock_guard<std::mutex> lock(mutex_);
     return history_.FindWriteViolation();
   }
-  std::size_t Refused() const {
+  // The number of rejected writes.
+  std::size_t RejectedWrites() const {
     const std::lock_guard<std::mutex> lock(mutex_);
     return history_.RejectedWrites();
   }
-  // The next write is held until Release (as by a slow network): its writer waits, and may be stopped
+  // Delays the next write until ReleaseWrite(), like a slow network. Its writer waits, and may be stopped
   // meanwhile.
-  void HoldNextWrite() { hold_ = true; }
-  bool Holding() const { return holding_; }
-  void Release() { release_ = true; }
-  // Takes the next write and ends its connection without an answer.
-  void DropNextAnswer() { drop_ = true; }
+  void HoldNextWrite() { hold_next_write_ = true; }
+  bool IsHoldingWrite() const { return is_holding_write_; }
+  void ReleaseWrite() { release_requested_ = true; }
+  // Applies the next write and closes its connection without a response.
+  void DropNextResponse() { drop_next_response_ = true; }
 
  private:
-  struct Caller {
+  struct Connection {
     int fd;
-    std::string in;
-    bool held = false;
+    std::string received;
+    bool is_write_held = false;
   };
   static std::string Base64(const std::string& text) {
     static constexpr char kDigits[] = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
@@ -63,84 +64,87 @@
     }
     return out;
   }
-  static std::uint64_t After(const std::string& text, const std::string& mark) {
+  // The number that follows `mark` in `text`.
+  static std::uint64_t NumberAfter(const std::string& text, const std::string& mark) {
     const std::size_t at = text.find(mark);
     CHECK_OR_THROW(at != std::string::npos);
     return std::stoull(text.substr(at + mark.size()));
   }
   void Run() {
-    std::vector<Caller> callers;
-    while (!stop_) {
-      std::vector<pollfd> waits{{server_.Descriptor(), POLLIN, 0}};
-      for (const Caller& caller : callers) waits.push_back({caller.fd, POLLIN, 0});
-      ::poll(waits.data(), waits.size(), 10);
-      for (std::size_t i = 0; i < callers.size(); ++i) {
-        Caller& caller = callers[i];
-        if (waits[i + 1].revents != 0) {
+    std::vector<Connection> connections;
+    while (!is_stopping_) {
+      std::vector<pollfd> poll_entries{{server_.Descriptor(), POLLIN, 0}};
+      for (const Connection& connection : connections) poll_entries.push_back({connection.fd, POLLIN, 0});
+      ::poll(poll_entries.data(), poll_entries.size(), 10);
+      for (std::size_t i = 0; i < connections.size(); ++i) {
+        Connection& connection = connections[i];
+        if (poll_entries[i + 1].revents != 0) {
           char block[65536];
-          const ssize_t n = ::recv(caller.fd, block, sizeof block, 0);
-          // A caller that went with a write held: what it wrote arrives all the same, later.
-          if (n > 0) caller.in.append(block, static_cast<std::size_t>(n));
-          if (n <= 0 && !caller.held) {
-            ::close(caller.fd);
-            caller.fd = -1;
+          const ssize_t size = ::recv(connection.fd, block, sizeof block, 0);
+          // If the client disconnects while its write is held, the write is still applied later.
+          if (size > 0) connection.received.append(block, static_cast<std::size_t>(size));
+          if (size <= 0 && !connection.is_write_held) {
+            ::close(connection.fd);
+            connection.fd = -1;
             continue;
           }
         }
-        while (caller.fd >= 0 && Serve(caller)) {
+        while (connection.fd >= 0 && Serve(connection)) {
         }
       }
-      std::erase_if(callers, [](const Caller& caller) { return caller.fd < 0; });
-      if (waits[0].revents != 0)
-        callers.push_back({::accept(server_.Descriptor(), nullptr, nullptr), {}, false});
+      std::erase_if(connections, [](const Connection& connection) { return connection.fd < 0; });
+      if (poll_entries[0].revents != 0)
+        connections.push_back({::accept(server_.Descriptor(), nullptr, nullptr), {}, false});
     }
-    for (const Caller& caller : callers) ::close(caller.fd);
+    for (const Connection& connection : connections) ::close(connection.fd);
   }
-  // One whole request, if it is there.
-  bool Serve(Caller& caller) {
-    const std::size_t end = caller.in.find("\r\n\r\n");
+  // Serves one request if it was received completely. Returns whether the next one may be tried.
+  bool Serve(Connection& connection) {
+    const std::size_t end = connection.received.find("\r\n\r\n");
     if (end == std::string::npos) return false;
-    const std::string head = caller.in.substr(0, end);
-    const bool put = head.starts_with("PUT ");
-    const std::size_t length = put ? After(head, "Content-Length: ") : 0;
-    if (caller.in.size() < end + 4 + length) return false;
-    if (put && (caller.held || hold_.exchange(false))) {
-      if (!caller.held) {
-        release_ = false;
-        caller.held = holding_ = true;
+    const std::string head = connection.received.substr(0, end);
+    const bool is_put = head.starts_with("PUT ");
+    const std::size_t length = is_put ? NumberAfter(head, "Content-Length: ") : 0;
+    if (connection.received.size() < end + 4 + length) return false;
+    if (is_put && (connection.is_write_held || hold_next_write_.exchange(false))) {
+      if (!connection.is_write_held) {
+        release_requested_ = false;
+        connection.is_write_held = is_holding_write_ = true;
       }
-      if (!release_) return false;
-      caller.held = holding_ = false;
+      if (!release_requested_) return false;
+      connection.is_write_held = is_holding_write_ = false;
     }
-    const std::string body = caller.in.substr(end + 4, length);
-    caller.in.erase(0, end + 4 + length);
+    const std::string body = connection.received.substr(end + 4, length);
+    connection.received.erase(0, end + 4 + length);
     const std::lock_guard<std::mutex> lock(mutex_);
-    std::string answer, status = "200 OK";
-    if (put) {
-      const bool taken = After(head, "cas=") == record_.index;
-      const std::uint64_t flags = After(head, "flags="), number = After(body, "\"number\":");
-      if (taken) {
+    std::string content, status = "200 OK";
+    if (is_put) {
+      const bool is_accepted = NumberAfter(head, "cas=") == record_.index;
+      const std::uint64_t flags = NumberAfter(head, "flags="), number = NumberAfter(body, "\"number\":");
+      if (is_accepted) {
         history_.RecordAcceptedWrite(tinspan::lease::Token{flags}, number);
         record_ = {record_.index + 7, flags, number, body};
       } else {
         history_.RecordRejectedWrite();
       }
-      answer = taken ? "true" : "false";
-      if (drop_.exchange(false)) {
-        ::close(caller.fd);
-        caller.fd = -1;
+      content = is_accepted ? "true" : "false";
+      if (drop_next_response_.exchange(false)) {
+        ::close(connection.fd);
+        connection.fd = -1;
         return false;
       }
     } else if (record_.index == 0) {
       status = "404 Not Found";
     } else {
-      answer = R"([{"LockIndex":0,"Key":"tinspan/shop/health","Flags":)" + std::to_string(record_.flags) +
-               R"(,"Value":")" + Base64(record_.text) + R"(","CreateIndex":7,"ModifyIndex":)" +
-               std::to_string(record_.index) + "}]";
+      content = R"([{"LockIndex":0,"Key":"tinspan/shop/health","Flags":)" + std::to_string(record_.flags) +
+                R"(,"Value":")" + Base64(record_.text) + R"(","CreateIndex":7,"ModifyIndex":)" +
+                std::to_string(record_.index) + "}]";
     }
-    const std::string out = "HTTP/1.1 " + status + "\r\nContent-Type: application/json\r\nContent-Length: " +
-                            std::to_string(answer.size()) + "\r\n\r\n" + answer;
-    ::send(caller.fd, out.data(), out.size(), MSG_NOSIGNAL);
+    const std::string response =
+        "HTTP/1.1 " + status +
+        "\r\nContent-Type: application/json\r\nContent-Length: " + std::to_string(content.size()) +
+        "\r\n\r\n" + content;
+    ::send(connection.fd, response.data(), response.size(), MSG_NOSIGNAL);
     return true;
   }
 
@@ -148,6 +152,7 @@
   mutable std::mutex mutex_;
   Record record_;
   tinspan::lease::History history_;
-  std::atomic<bool> stop_{false}, hold_{false}, holding_{false}, release_{false}, drop_{false};
+  std::atomic<bool> is_stopping_{false}, hold_next_write_{false}, is_holding_write_{false},
+      release_requested_{false}, drop_next_response_{false};
   TestThread thread_;
 };
--- a/tests/net/leases_test.cpp
+++ b/tests/net/leases_test.cpp
@@ -1,6 +1,7 @@
-// Leases among real processes: five voters, a relay between them, a store of ours that they write to, and
-// faults put there by the test. Whatever happens, no two hold the lease at once, what the store took is in
-// order, and the lease is taken over again within a bound of the lease's length.
+// Leases among real processes: five voters with a UDP relay between them, a stand-in for the key-value store
+// that the holder writes to, and faults injected by the test. At no time do two members hold the lease, the
+// writes that the store accepts are in order, and a lost lease is taken over within a bound that depends on
+// its length.
 #include <filesystem>
 #include <nlohmann/json.hpp>
 
@@ -14,19 +15,22 @@
 using tinspan::lease::Token;
 
 constexpr int kLengthMs = 1'500;
-// To be taken over again: the lease runs out, then a ballot or two; sanitizers included.
+// The longest takeover: the lease expires, then one or two ballots follow; also holds for sanitizer builds.
 constexpr int kMaxTakeoverMs = 2 * kLengthMs + 3'000;
 
-Micros Steady() {
+Micros SteadyNow() {
   return std::chrono::duration_cast<Micros>(std::chrono::steady_clock::now().time_since_epoch());
 }
 
+// What a member reports about a lease; `left` is its remaining time in ms.
 struct LeaseReport {
   std::string holder, role;
   std::uint64_t token = 0;
   long long left = 0;
 };
 
+// A fleet whose voters n0 to n4 grant the `health` lease; its holder publishes to `store`. `history` collects
+// what the members report about holding it.
 class LeaseFleet {
  public:
   explicit LeaseFleet(int count = 5)
@@ -34,9 +38,9 @@
                          std::to_string(kLengthMs) + R"(,"publish":{"store":")" + store.Address() +
                          R"(","every_ms":100}},)") {}
 
-  // What its door says; none: it does not answer (stopped).
+  // Asks a member's admin listener for the `health` lease and records in the history if the member holds it.
   LeaseReport QueryLease(int member) {
-    const Micros before = Steady();
+    const Micros before = SteadyNow();
     ::TcpPeer caller = ::TcpPeer::Connect(fleet.instances[member].ops_port);
     caller.Send("leases\n");
     std::istringstream in(caller.ReadToEnd());
@@ -46,24 +50,27 @@
     LeaseReport held;
     CHECK_OR_THROW(words >> lease >> held.holder >> held.token >> held.left >> held.role &&
                    lease == "health");
-    // It held at some moment from `before` to now, and for `left` from then: so from now to before + left at
-    // least, with the slowest true time that its clock allows.
+    // The member held the lease at some time between `before` and now, and will hold it for `left` from that
+    // time: that covers at least now to before + left, less 10 % because its clock may be slow relative to
+    // true time.
     if (held.role == "holder") {
-      const Micros from = Steady(), to = before + Micros{held.left * 900};
+      const Micros from = SteadyNow(), to = before + Micros{held.left * 900};
       if (from < to) history.RecordHold(Token{held.token}, fleet.instances[member].name, from, to);
     }
     return held;
   }
-  // Who says that it holds; -1: nobody. Stopped ones are not asked.
-  int Holder(const std::set<int>& without = {}) {
+  // The member that reports to hold the lease; -1: none. Members in `unasked` (stopped ones, which cannot
+  // answer) are not asked.
+  int Holder(const std::set<int>& unasked = {}) {
     int holder = -1;
     for (int i = 0; i < static_cast<int>(fleet.instances.size()); ++i) {
-      if (!fleet.instances[i].program || without.contains(i)) continue;
+      if (!fleet.instances[i].program || unasked.contains(i)) continue;
       if (QueryLease(i).role == "holder") holder = i;
     }
     return holder;
   }
-  // Milliseconds until one holds that is not in `but`.
+  // Waits until a member that is not in `excluded` holds the lease; returns the milliseconds. Members in
+  // `unasked` are not asked.
   long long WaitForHolder(int& holder, const std::set<int>& excluded = {},
                           const std::set<int>& unasked = {}) {
     const long long start = UnixMs();
@@ -74,7 +81,7 @@
       std::this_thread::sleep_for(std::chrono::milliseconds(20));
     }
   }
-  // The store takes records under a token above `token`, so many of them.
+  // Waits until the store has accepted `count` further records written with a fencing token above `token`.
   void WaitForWrites(std::uint64_t token, std::uint64_t count) {
     const long long start = UnixMs();
     std::uint64_t first = 0;
@@ -87,22 +94,24 @@
       std::this_thread::sleep_for(std::chrono::milliseconds(20));
     }
   }
+  // Checks that neither the holds nor the accepted writes violate the guarantees of the lease.
   void ExpectNoViolation() {
-    for (const auto& broken : {history.FindViolation(), store.Broken()}) {
-      if (broken) std::fprintf(stderr, "history: %s\n", broken->c_str());
-      CHECK_OR_THROW(!broken);
+    for (const auto& violation : {history.FindViolation(), store.WriteViolation()}) {
+      if (violation) std::fprintf(stderr, "history: %s\n", violation->c_str());
+      CHECK_OR_THROW(!violation);
     }
   }
   std::uint64_t TokenOf(int member) { return QueryLease(member).token; }
 
-  KvStandin store;
+  KvStandIn store;
   MembershipFleet fleet;
   History history;
 };
 
-// All at once ask for it, one gets it, and it stays with that one; every door and the command name it.
+// All members request the lease at once. One gets it and keeps it, and every admin listener and the `leases`
+// command name that holder.
 TEST(LeasesTest, OneHolderPublishes) {
-  LeaseFleet five(6);  // the sixth has no vote
+  LeaseFleet five(6);  // the sixth is no voter
   int holder = -1;
   five.WaitForHolder(holder);
   const std::uint64_t token = five.TokenOf(holder);
@@ -120,20 +129,23 @@
       ASSERT_LT(UnixMs(), end);
     }
   }
-  Program shown({"leases", "--door", "127.0.0.1:" + std::to_string(five.fleet.instances[0].ops_port)}, {});
-  ASSERT_EQ(shown.Wait(), 0);
-  ASSERT_NE(shown.log.find("health"), std::string::npos);
-  ASSERT_NE(shown.log.find(std::to_string(token)), std::string::npos);
-  // A write that was taken and whose answer was lost is not done twice; a store that is gone ends no lease.
-  five.store.DropNextAnswer();
+  Program leases_command(
+      {"leases", "--door", "127.0.0.1:" + std::to_string(five.fleet.instances[0].ops_port)}, {});
+  ASSERT_EQ(leases_command.Wait(), 0);
+  ASSERT_NE(leases_command.log.find("health"), std::string::npos);
+  ASSERT_NE(leases_command.log.find(std::to_string(token)), std::string::npos);
+  // A write that was applied but whose response was lost is not applied twice, and a failure of the store
+  // does not end the lease.
+  five.store.DropNextResponse();
   five.WaitForWrites(token - 1, 10);
   ASSERT_GE(five.fleet.Metric(holder, "lease_store_failures_total"), 1);
   ASSERT_EQ(five.Holder(), holder);
   five.ExpectNoViolation();
 }
 
-// Stopped past its lease and resumed: another holds meanwhile, and nothing is taken under the old token. It
-// was stopped with a write on its way, which arrives after the other's first.
+// The holder is stopped (SIGSTOP) until its lease has expired, and resumed. Meanwhile another member holds
+// the lease, and the store must accept nothing with the old fencing token. A write of the old holder is under
+// way when it is stopped and arrives after the new holder's first write.
 TEST(LeasesTest, FencesAStoppedHolder) {
   LeaseFleet five;
   int first = -1, second = -1;
@@ -141,29 +153,30 @@
   const std::uint64_t old = five.TokenOf(first);
   five.WaitForWrites(old - 1, 3);
   five.store.HoldNextWrite();
-  for (const long long end = UnixMs() + kWaitLimitMs; !five.store.Holding();) {
+  for (const long long end = UnixMs() + kWaitLimitMs; !five.store.IsHoldingWrite();) {
     ASSERT_LT(UnixMs(), end);
   }
   five.fleet.instances[first].program->Signal(SIGSTOP);
-  const long long took = five.WaitForHolder(second, {first}, {first});
-  ReportDuration("a stopped holder's lease taken over", took);
-  ASSERT_LT(took, kMaxTakeoverMs);
+  const long long took_ms = five.WaitForHolder(second, {first}, {first});
+  ReportDuration("lease of a stopped holder taken over", took_ms);
+  ASSERT_LT(took_ms, kMaxTakeoverMs);
   const std::uint64_t next = five.TokenOf(second);
   ASSERT_GT(next, old);
   for (const long long end = UnixMs() + kWaitLimitMs; five.store.Stored().flags < next;) {
     ASSERT_LT(UnixMs(), end);
   }
-  five.store.Release();  // the old write arrives
+  five.store.ReleaseWrite();  // the old holder's write arrives
   five.fleet.instances[first].program->Signal(SIGCONT);
   five.WaitForWrites(old, 10);
-  ASSERT_GE(five.store.Refused(), 1);
+  ASSERT_GE(five.store.RejectedWrites(), 1);
   ASSERT_NE(five.QueryLease(first).role, "holder");
   ASSERT_EQ(five.fleet.Metric(first, "lease_lapsed_total"), 1);
   ASSERT_EQ(five.Holder(), second);
   five.ExpectNoViolation();
 }
 
-// Cut off from all others but not from the store it writes to: it stops, another goes on from its number.
+// The holder loses its links to all other members but not to the store: it must stop, and another member
+// continues from its record number.
 TEST(LeasesTest, AnIsolatedHolderStops) {
   LeaseFleet five;
   int first = -1, second = -1;
@@ -172,12 +185,12 @@
   five.WaitForWrites(old - 1, 3);
   for (int other = 0; other < 5; ++other) {
     if (other == first) continue;
-    five.fleet.relay.Cut(first, other);
-    five.fleet.relay.Cut(other, first);
+    five.fleet.relay.CutLink(first, other);
+    five.fleet.relay.CutLink(other, first);
   }
-  const long long took = five.WaitForHolder(second, {first});
-  ReportDuration("a cut-off holder's lease taken over", took);
-  ASSERT_LT(took, kMaxTakeoverMs);
+  const long long took_ms = five.WaitForHolder(second, {first});
+  ReportDuration("lease of an isolated holder taken over", took_ms);
+  ASSERT_LT(took_ms, kMaxTakeoverMs);
   five.WaitForWrites(old, 5);
   ASSERT_NE(five.QueryLease(first).role, "holder");
   five.fleet.relay.Heal();
@@ -187,22 +200,22 @@
   five.ExpectNoViolation();
 }
 
-// Killed in the middle of its lease: the next goes on from the record that stands, none left out, none twice.
-// The one that comes back has forgotten what it promised and is silent first.
+// The holder is killed in the middle of its lease: the next holder continues from the stored record, without
+// gaps or duplicates. The restarted member has lost its promises and must stay silent at first.
 TEST(LeasesTest, ReplacesAKilledHolder) {
   LeaseFleet five;
   int first = -1, second = -1;
   five.WaitForHolder(first);
   const std::uint64_t old = five.TokenOf(first);
   five.WaitForWrites(old - 1, 3);
-  five.history.RecordEnd(Token{old}, Steady());
+  five.history.RecordEnd(Token{old}, SteadyNow());
   five.fleet.Kill(first);
-  const std::uint64_t number = five.store.Stored().number;
-  const long long took = five.WaitForHolder(second);
-  ReportDuration("a killed holder's lease taken over", took);
-  ASSERT_LT(took, kMaxTakeoverMs);
+  const std::uint64_t record_number = five.store.Stored().number;
+  const long long took_ms = five.WaitForHolder(second);
+  ReportDuration("lease of a killed holder taken over", took_ms);
+  ASSERT_LT(took_ms, kMaxTakeoverMs);
   five.WaitForWrites(old, 3);
-  ASSERT_GT(five.store.Stored().number, number);
+  ASSERT_GT(five.store.Stored().number, record_number);
   five.fleet.Start(first);
   five.fleet.WaitUntilReady(first);
   ASSERT_EQ(five.QueryLease(first).role, "voter-silent");
@@ -214,26 +227,27 @@
   five.ExpectNoViolation();
 }
 
-// Two on one side, three on the other: the two hold nothing, whoever held before.
+// The fleet is partitioned into two and three members, with the holder on the side of two: that side must not
+// hold the lease any longer.
 TEST(LeasesTest, AMinorityHoldsNoLease) {
   LeaseFleet five;
   int first = -1, second = -1;
   five.WaitForHolder(first);
   const std::uint64_t old = five.TokenOf(first);
-  const int with = first == 0 ? 1 : 0;
+  const int companion = first == 0 ? 1 : 0;
   for (int a = 0; a < 5; ++a) {
     for (int b = 0; b < 5; ++b) {
-      if ((a == first || a == with) != (b == first || b == with)) five.fleet.relay.Cut(a, b);
+      if ((a == first || a == companion) != (b == first || b == companion)) five.fleet.relay.CutLink(a, b);
     }
   }
-  const long long took = five.WaitForHolder(second, {first});
-  ReportDuration("taken over by the majority", took);
-  ASSERT_LT(took, kMaxTakeoverMs);
-  ASSERT_NE(second, with);
+  const long long took_ms = five.WaitForHolder(second, {first});
+  ReportDuration("lease taken over by the majority", took_ms);
+  ASSERT_LT(took_ms, kMaxTakeoverMs);
+  ASSERT_NE(second, companion);
   five.WaitForWrites(old, 3);
   for (const long long end = UnixMs() + 2 * kLengthMs; UnixMs() < end;) {
     ASSERT_NE(five.QueryLease(first).role, "holder");
-    ASSERT_NE(five.QueryLease(with).role, "holder");
+    ASSERT_NE(five.QueryLease(companion).role, "holder");
     ASSERT_EQ(five.Holder(), second);
   }
   five.fleet.relay.Heal();
@@ -241,7 +255,8 @@
   five.ExpectNoViolation();
 }
 
-// One clock a tenth fast, and the holder stopped again and again: never two.
+// One member's clock runs 10 % fast and the holder is stopped repeatedly: there are never two holders at
+// once.
 TEST(LeasesTest, AFastClockHoldsNoSecondLease) {
   LeaseFleet five;
   five.fleet.Kill(2);
@@ -265,81 +280,81 @@
   five.ExpectNoViolation();
 }
 
-// Told to stop, it lets the lease go: it is handed on without waiting for the lease to run out.
+// A holder that shuts down releases the lease: another member takes it over without waiting until it expires.
 TEST(LeasesTest, AStoppingHolderHandsOver) {
   LeaseFleet five;
   int first = -1, second = -1;
   five.WaitForHolder(first);
   const std::uint64_t old = five.TokenOf(first);
-  // The other candidates have asked and were refused: the voters know whom to tell.
+  // By then the other candidates have asked and were rejected, so that the voters know whom to notify.
   std::this_thread::sleep_for(std::chrono::milliseconds(kLengthMs));
   five.WaitForWrites(old - 1, 3);
   five.fleet.instances[first].program->Signal(SIGTERM);
-  five.history.RecordEnd(Token{old}, Steady());
+  five.history.RecordEnd(Token{old}, SteadyNow());
   ASSERT_EQ(five.fleet.instances[first].program->Wait(), 0);
   ASSERT_NE(five.fleet.instances[first].program->log.find("health released, token"), std::string::npos);
   five.fleet.instances[first].program.reset();
-  const long long took = five.WaitForHolder(second);
-  ReportDuration("a stopping holder's lease handed on", took);
+  const long long took_ms = five.WaitForHolder(second);
+  ReportDuration("lease of a stopping holder handed over", took_ms);
   ASSERT_NE(second, first);
   five.WaitForWrites(old, 3);
   five.ExpectNoViolation();
 }
 
-// Five gateways whose operator's files were written by `tinspan init`, with leases on.
-struct Gateways {
-  struct One {
+// Five gateways whose configurations were written by `tinspan init`, with leases enabled.
+struct GatewayFleet {
+  struct Gateway {
     std::unique_ptr<Program> program;
     std::string file, token;
     int http = 0, ops = 0;
   };
-  Gateways() {
+  GatewayFleet() {
     char name[] = "/tmp/tinspan-test-XXXXXX";
     CHECK_OR_THROW(::mkdtemp(name) != nullptr);
     folder = name;
-    for (int i = 0; i < 5; ++i) relay.Add();
+    for (int i = 0; i < 5; ++i) relay.AddMember();
     for (int i = 0; i < 5; ++i) {
       const std::string at = folder + "/g" + std::to_string(i);
       Program init({"init", at}, {});
       CHECK_OR_THROW(init.Wait() == 0);
-      One& one = all.emplace_back();
+      Gateway& one = gateways.emplace_back();
       one.file = at + "/gateway.json";
       std::ifstream token(at + "/operator.token");
       CHECK_OR_THROW(std::getline(token, one.token));
       std::ifstream in(one.file);
-      nlohmann::json told = nlohmann::json::parse(in);
-      told["name"] = "n" + std::to_string(i);
-      told["listen"] = told["ops"] = "127.0.0.1:0";
-      told["consul"]["address"] = "127.0.0.1:1";
-      told["members"] = {
-          {"fleet", "shop"},
-          {"listen", "127.0.0.1:0"},
-          {"advertise", "127.0.0.1:" + std::to_string(relay.PortOf(i))},
-          {"seeds",
-           {"127.0.0.1:" + std::to_string(relay.PortOf(0)), "127.0.0.1:" + std::to_string(relay.PortOf(1))}},
-          {"probe_ms", 200},
-          {"probe_timeout_ms", 100},
-          {"sync_ms", 1000},
-          {"dead_keep_ms", 30000}};
-      told["leases"] = {
+      nlohmann::json config = nlohmann::json::parse(in);
+      config["name"] = "n" + std::to_string(i);
+      config["listen"] = config["ops"] = "127.0.0.1:0";
+      config["consul"]["address"] = "127.0.0.1:1";
+      config["members"] = {{"fleet", "shop"},
+                           {"listen", "127.0.0.1:0"},
+                           {"advertise", "127.0.0.1:" + std::to_string(relay.AdvertisedPort(i))},
+                           {"seeds",
+                            {"127.0.0.1:" + std::to_string(relay.AdvertisedPort(0)),
+                             "127.0.0.1:" + std::to_string(relay.AdvertisedPort(1))}},
+                           {"probe_ms", 200},
+                           {"probe_timeout_ms", 100},
+                           {"sync_ms", 1000},
+                           {"dead_keep_ms", 30000}};
+      config["leases"] = {
           {"voters", {"n0", "n1", "n2", "n3", "n4"}}, {"length_ms", kLengthMs}, {"purge", true}};
-      std::ofstream(one.file) << told.dump();
-      Begin(i);
+      std::ofstream(one.file) << config.dump();
+      Start(i);
     }
   }
-  ~Gateways() { std::filesystem::remove_all(folder); }
-  void Begin(int i) {
-    One& one = all[i];
+  ~GatewayFleet() { std::filesystem::remove_all(folder); }
+  void Start(int i) {
+    Gateway& one = gateways[i];
     one.program = std::make_unique<Program>(std::vector<std::string>{"serve", "-f", one.file},
                                             std::map<std::string, std::string>{});
     const std::string line = one.program->ReadLogThrough("members at ");
-    relay.Seated(i, PortOf(line.substr(0, line.find(" advertised"))));
+    relay.SetMemberPort(i, ParsePort(line.substr(0, line.find(" advertised"))));
     one.http = one.program->Port();
-    one.ops = PortOf(one.program->ReadLogThrough("operators' door at "));
+    one.ops = ParsePort(one.program->ReadLogThrough("operators' door at "));
   }
-  // What its door says of `purge`: a word named so, or the role.
+  // A field of the `purge` lease as a gateway's admin listener reports it; "role" is the role.
   std::string StatusField(int i, const std::string& name) {
-    ::TcpPeer caller = ::TcpPeer::Connect(all[i].ops);
+    ::TcpPeer caller = ::TcpPeer::Connect(gateways[i].ops);
     caller.Send("leases\n");
     std::istringstream in(caller.ReadToEnd());
     std::string line, lease, holder, token, left, role, word;
@@ -353,10 +368,11 @@
     CHECK_OR_THROW(false);
     return {};
   }
+  // Waits until a gateway holds the `purge` lease and returns its index.
   int Holder() {
     for (const long long end = UnixMs() + kConvergenceLimitMs;;) {
       for (int i = 0; i < 5; ++i) {
-        if (all[i].program && StatusField(i, "role") == "holder") return i;
+        if (gateways[i].program && StatusField(i, "role") == "holder") return i;
       }
       CHECK_OR_THROW(UnixMs() < end);
       std::this_thread::sleep_for(std::chrono::milliseconds(20));
@@ -364,12 +380,13 @@
   }
   void Purge(int at, const std::string& path) {
     const std::string body = R"({"object":")" + path + R"("})";
-    ::TcpPeer caller = ::TcpPeer::Connect(all[at].http);
-    caller.Send("POST /-/purge HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + all[at].token +
+    ::TcpPeer caller = ::TcpPeer::Connect(gateways[at].http);
+    caller.Send("POST /-/purge HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + gateways[at].token +
                 "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
     CHECK_OR_THROW(caller.ReadUntil("\r\n").starts_with("HTTP/1.1 204"));
   }
-  // Milliseconds until each of `members` has applied so many that came from others.
+  // Waits until each gateway in `members` has applied that number of purges from other gateways; returns the
+  // milliseconds.
   long long WaitForApplied(const std::map<int, int>& members) {
     const long long start = UnixMs();
     for (const auto& [i, count] : members) {
@@ -382,24 +399,25 @@
   }
   Relay relay;
   std::string folder;
-  std::vector<One> all;
+  std::vector<Gateway> gateways;
 };
 
-// An operator's purge at any gateway is applied at every other; the holder is killed when it has reached
-// some, and the next one finishes: every gateway has applied it once.
+// An operator's purge at one gateway is applied by every other. Then the holder is killed when it has
+// distributed another purge only in part: the next holder completes it, and every gateway applies it exactly
+// once.
 TEST(LeasesTest, APurgeReachesTheFleet) {
-  Gateways five;
+  GatewayFleet five;
   const int holder = five.Holder();
   const int origin = (holder + 1) % 5;
   std::map<int, int> once;
   for (int i = 0; i < 5; ++i) once[i] = i == origin ? 0 : 1;
   five.Purge(origin, "/scans/estate/book.jpg?page=3");
-  const long long took = five.WaitForApplied(once);
-  ReportDuration("a purge applied by the fleet", took);
-  ASSERT_LT(took, 1'000);
-  // The holder reaches the origin alone, and then dies.
+  const long long took_ms = five.WaitForApplied(once);
+  ReportDuration("purge applied by the fleet", took_ms);
+  ASSERT_LT(took_ms, 1'000);
+  // The holder can reach only the gateway that got the purge, and is then killed.
   for (int i = 0; i < 5; ++i) {
-    if (i != origin && i != holder) five.relay.Cut(holder, i);
+    if (i != origin && i != holder) five.relay.CutLink(holder, i);
   }
   five.Purge(origin, "/scans/estate/other.jpg");
   once[holder] = 2;
@@ -409,21 +427,21 @@
       ASSERT_EQ(five.StatusField(i, "applied"), (i == origin ? "0" : "1"));
     }
   }
-  five.all[holder].program.reset();
+  five.gateways[holder].program.reset();
   five.relay.Heal();
   for (int i = 0; i < 5; ++i) once[i] = i == origin ? 0 : 2;
   once.erase(holder);
-  const long long finished = five.WaitForApplied(once);
-  ReportDuration("a killed holder's purge finished", finished);
-  ASSERT_LT(finished, kMaxTakeoverMs);
+  const long long finished_ms = five.WaitForApplied(once);
+  ReportDuration("purge of a killed holder completed", finished_ms);
+  ASSERT_LT(finished_ms, kMaxTakeoverMs);
   ASSERT_NE(five.Holder(), holder);
   five.Purge((origin + 1) % 5 == holder ? (origin + 2) % 5 : (origin + 1) % 5, "/pages/third");
   five.WaitForApplied({{origin, 1}});
 }
 
-// An upgrade: the second process of a voter waits for the port longer than a voter is silent, while the first
-// goes on granting under the same name. Its silence begins when the port is its own, or it would grant a
-// lease twice.
+// An upgrade: the second process of a voter waits for the port for longer than the silence after a start,
+// while the first process goes on granting leases under the same name. The silence must begin only when the
+// second process has the port; otherwise it could grant a lease twice.
 TEST(LeasesTest, AnUpgradedVoterStaysSilentUntilItsPromisesExpire) {
   LeaseFleet five;
   int holder = -1;
@@ -433,18 +451,18 @@
   std::string text;
   std::ifstream in(one.file->path);
   std::getline(in, text, '\0');
-  const std::string any = R"("members":{"fleet":"shop","listen":"127.0.0.1:0")";
-  ASSERT_NE(text.find(any), std::string::npos);
-  text.replace(text.find(any), any.size(),
+  const std::string any_port = R"("members":{"fleet":"shop","listen":"127.0.0.1:0")";
+  ASSERT_NE(text.find(any_port), std::string::npos);
+  text.replace(text.find(any_port), any_port.size(),
                R"("members":{"fleet":"shop","listen":"127.0.0.1:)" + std::to_string(one.port) + "\"");
   one.file = std::make_unique<TemporaryFile>(text);
   const std::unique_ptr<Program> old = std::move(one.program);
   five.fleet.Start(voter);
   one.program->ReadLogThrough("is in use");
-  const int door = PortOf(one.program->ReadLogThrough("operators' door at "));
-  // Twice a voter's silence and what it would wait alone, before the port is free.
+  const int ops_port = ParsePort(one.program->ReadLogThrough("operators' door at "));
+  // Twice as long as a voter's silence and its wait when it is alone, before the port becomes free.
   for (const long long end = UnixMs() + 4 * kLengthMs; UnixMs() < end;) {
-    ::TcpPeer caller = ::TcpPeer::Connect(door);
+    ::TcpPeer caller = ::TcpPeer::Connect(ops_port);
     caller.Send("leases\n");
     ASSERT_NE(caller.ReadToEnd().find("voter-silent"), std::string::npos);
     std::this_thread::sleep_for(std::chrono::milliseconds(50));
@@ -452,31 +470,32 @@
   old->Signal(SIGTERM);
   ASSERT_EQ(old->Wait(), 0);
   one.program->ReadLogThrough("members at ");
-  one.ops_port = door;
+  one.ops_port = ops_port;
   const long long began = UnixMs();
   while (five.QueryLease(voter).role == "voter-silent") {
     ASSERT_LT(UnixMs() - began, kConvergenceLimitMs);
   }
   const long long silent = UnixMs() - began;
-  ReportDuration("an upgraded voter silent", silent);
+  ReportDuration("silence of an upgraded voter", silent);
   ASSERT_GT(silent, kLengthMs);
   ASSERT_EQ(five.Holder(), holder);
   five.ExpectNoViolation();
 }
 
-// Off where the file has no leases; a file that could grant a lease twice is rejected, naming the key.
+// Leases are off if the configuration has none. A configuration that could grant a lease twice is rejected
+// with an error that names the key.
 TEST(LeasesTest, IsOffWithoutLeases) {
-  MembershipFleet off(1);
-  ::TcpPeer caller = ::TcpPeer::Connect(off.instances[0].ops_port);
+  MembershipFleet fleet(1);
+  ::TcpPeer caller = ::TcpPeer::Connect(fleet.instances[0].ops_port);
   caller.Send("leases\n");
   ASSERT_EQ(caller.ReadUntil("\n"), "error leases are off here");
   std::string text;
-  std::ifstream in(off.instances[0].file->path);
+  std::ifstream in(fleet.instances[0].file->path);
   std::getline(in, text, '\0');
-  const std::string good =
+  const std::string valid_leases =
       R"("leases":{"voters":["a","b","c"],"publish":{"store":"127.0.0.1:8500"}},"settings")";
-  const auto checked = [&](const std::string& from, const std::string& to) {
-    std::string leases = good, file = text;
+  const auto check_with = [&](const std::string& from, const std::string& to) {
+    std::string leases = valid_leases, file = text;
     leases.replace(leases.find(from), from.size(), to);
     file.replace(file.find("\"settings\""), 10, leases);
     const TemporaryFile written(file);
@@ -485,7 +504,7 @@
     const int status = check.Wait();
     return std::pair{status, check.log};
   };
-  ASSERT_EQ(checked("a", "a").first, 0);
+  ASSERT_EQ(check_with("a", "a").first, 0);
   for (const auto& [from, to, key] : std::vector<std::tuple<std::string, std::string, std::string>>{
            {R"("a","b","c")", R"("a","b")", "leases.voters"},
            {R"("a","b","c")", R"("a","b","a")", "leases.voters.2"},
@@ -496,7 +515,7 @@
            {R"("store":"127.0.0.1:8500")", R"("store":"nowhere")", "leases.publish.store"},
            {R"("store":"127.0.0.1:8500")", R"("store":"127.0.0.1:8500","key":"a b")",
             "leases.publish.key"}}) {
-    const auto [status, log] = checked(from, to);
+    const auto [status, log] = check_with(from, to);
     ASSERT_NE(status, 0);
     ASSERT_TRUE(log.find(": " + key + " (line ") != std::string::npos ||
                 log.find(": " + key + ": ") != std::string::npos);
--- a/tests/net/platform_test.cpp
+++ b/tests/net/platform_test.cpp
@@ -1,4 +1,5 @@
-// The platform's front: the real program between clients, shop caches and a change log played here.
+// The platform front: the real program, with clients, caches, the origin and the endpoint watch played by the
+// test.
 #include <sys/epoll.h>
 
 #include <sstream>
@@ -12,31 +13,32 @@
   World world;
   TcpPeer client = world.Client();
   client.Send(EncodeCommand({"RPC.HEALTH", "1", ""}));
-  ASSERT_EQ(Answer(client), (std::vector<std::string>{"1", "healthy", "", ""}));
-  client.Send(Call("2", ",cached=4be0c1927d55a6f3"));
-  TcpPeer cache = Chosen(world);
+  ASSERT_EQ(ReadResponse(client), (std::vector<std::string>{"1", "healthy", "", ""}));
+  client.Send(EncodeCall("2", ",cached=4be0c1927d55a6f3"));
+  TcpPeer cache = AcceptAtChosenCache(world);
   const std::string line = cache.ReadUntil("\r\n");
-  ASSERT_TRUE(
-      line.starts_with(std::string("REQ ") + kRef + " queue=pages,path=7f3a9c21e0b4d655,blk=3,budget="));
-  // Nearly all of what the client allows is its answer's: some allow little more than the sending time.
+  ASSERT_TRUE(line.starts_with(std::string("REQ ") + kRequestId +
+                               " queue=pages,path=7f3a9c21e0b4d655,blk=3,budget="));
+  // Nearly all of the client's timeout is left to the server: some timeouts are hardly longer than the
+  // transfer.
   ASSERT_GE(std::stoi(line.substr(line.find("budget=") + 7)), 2'485);
   ASSERT_NE(line.find(",miss=p-1"), std::string::npos);
   ASSERT_NE(line.find(",prio=1"), std::string::npos);
   ASSERT_NE(line.find(",f=share+swr"), std::string::npos);
   ASSERT_TRUE(line.ends_with(",mine=4be0c1927d55a6f3 0"));
   ASSERT_TRUE(cache.ReadUntil("\r\n").empty());
-  // Every byte value, and more than a socket takes at once; the answer comes in pieces.
+  // Every byte value, and more than a socket accepts at once; the cache sends the response in pieces.
   std::string body;
   for (int i = 0; i < 240'000; ++i) body += static_cast<char>(i * 7 + i / 256);
-  const std::string answer = Ok(body, ",detail=pulled,use=inflight:7;util:0.61;x1:0.2");
+  const std::string answer = OkResponse(body, ",detail=pulled,use=inflight:7;util:0.61;x1:0.2");
   for (std::size_t at = 0; at < answer.size(); at += 50'000) cache.Send(answer.substr(at, 50'000));
-  ASSERT_EQ(Answer(client), (std::vector<std::string>{"2", "done", "", body}));
-  // The client's copy is the one: no bytes, and that is said.
-  client.Send(Call("3", ",cached=4be0c1927d55a6f3"));
+  ASSERT_EQ(ReadResponse(client), (std::vector<std::string>{"2", "done", "", body}));
+  // The client's copy is current: the response says so and has no body.
+  client.Send(EncodeCall("3", ",cached=4be0c1927d55a6f3"));
   cache.ReadUntil("\r\n\r\n");
-  cache.Send(std::string(kRef) + " SAME entity=4be0c1927d55a6f3,issued=" + std::to_string(UnixMs()) +
+  cache.Send(std::string(kRequestId) + " SAME entity=4be0c1927d55a6f3,issued=" + std::to_string(UnixMs()) +
              " 0\r\n\r\n");
-  ASSERT_EQ(Answer(client), (std::vector<std::string>{"3", "done", "keep=1", ""}));
+  ASSERT_EQ(ReadResponse(client), (std::vector<std::string>{"3", "done", "keep=1", ""}));
 }
 
 TEST(PlatformTest, ForwardsAWriteUnchanged) {
@@ -45,108 +47,111 @@
   const std::string body(48'000, '\xfe');
   client.Send(EncodeCommand(
       {"RPC.CALL", "5", "orders",
-       std::string("ref=") + kRef +
+       std::string("ref=") + kRequestId +
            ",allow=3000,replay=5c0f6e1a2b3d4c59a8b7c6d5e4f30211,lookup=7f3a9c21e0b4d655,block=0,family=17",
        body}));
-  TcpPeer cache = Chosen(world);
+  TcpPeer cache = AcceptAtChosenCache(world);
   const std::string line = cache.ReadUntil("\r\n");
   ASSERT_NE(line.find(",uniq=5c0f6e1a2b3d4c59a8b7c6d5e4f30211"), std::string::npos);
   ASSERT_NE(line.find(",miss=o-1"), std::string::npos);
   ASSERT_TRUE(line.ends_with(" 48000"));
   ASSERT_EQ(cache.ReadExactly(48'002), body + "\r\n");
-  cache.Send(Ok("sold"));
-  ASSERT_EQ(Answer(client)[3], "sold");
+  cache.Send(OkResponse("sold"));
+  ASSERT_EQ(ReadResponse(client)[3], "sold");
 }
 
-// Guards against trusting what never ran or may have: each word leads to a further attempt elsewhere.
-void MovesOnAfter(const std::function<void(TcpPeer&)>& end, bool again = false) {
+// After `fail` has ended the first attempt, a further attempt must be made and its response reach the client.
+// With `may_use_same_cache` either cache may get that attempt, otherwise it must be the other one.
+void ExpectRetryAfter(const std::function<void(TcpPeer&)>& fail, bool may_use_same_cache = false) {
   World world;
   TcpPeer client = world.Client();
-  client.Send(Call("1"));
+  client.Send(EncodeCall("1"));
   bool first = false;
-  TcpPeer cache = Chosen(world, &first);
+  TcpPeer cache = AcceptAtChosenCache(world, &first);
   cache.ReadUntil("\r\n\r\n");
-  end(cache);
-  // The cache whose answer broke off has the copy by now and may be asked again; the others are passed over.
-  TcpPeer next = again ? Chosen(world) : (first ? world.cache_b : world.cache_a).Accept();
-  CHECK_OR_THROW(next.ReadUntil("\r\n\r\n").starts_with(std::string("REQ ") + kRef));
-  next.Send(Ok("abc"));
-  CHECK_OR_THROW((Answer(client) == std::vector<std::string>{"1", "done", "", "abc"}));
+  fail(cache);
+  // A cache whose response broke off has the copy by now and may be tried again; after the other failures the
+  // same cache is not tried again.
+  TcpPeer next =
+      may_use_same_cache ? AcceptAtChosenCache(world) : (first ? world.cache_b : world.cache_a).Accept();
+  CHECK_OR_THROW(next.ReadUntil("\r\n\r\n").starts_with(std::string("REQ ") + kRequestId));
+  next.Send(OkResponse("abc"));
+  CHECK_OR_THROW((ReadResponse(client) == std::vector<std::string>{"1", "done", "", "abc"}));
 }
 
-// A server that goes silent: the client has its final answer before it gives up, once, and the server is
-// told.
+// The server never responds: the client gets exactly one final response before its timeout, and the server
+// gets STOP.
 TEST(PlatformTest, AnswersOnceBeforeTheDeadline) {
   World world;
   TcpPeer client = world.Client();
   const auto start = UnixMs();
-  client.Send(Call("1", "", 700));
-  TcpPeer cache = Chosen(world);
+  client.Send(EncodeCall("1", "", 700));
+  TcpPeer cache = AcceptAtChosenCache(world);
   cache.ReadUntil("\r\n\r\n");
-  const auto answer = Answer(client);
+  const auto answer = ReadResponse(client);
   ASSERT_LT(UnixMs() - start, 750);
   ASSERT_TRUE(answer[1] == "later" || answer[1] == "error");
-  ASSERT_EQ(cache.ReadUntil("\r\n"), std::string("STOP ") + kRef);
-  cache.Send(Ok("too late"));
+  ASSERT_EQ(cache.ReadUntil("\r\n"), std::string("STOP ") + kRequestId);
+  cache.Send(OkResponse("too late"));
   client.Send(EncodeCommand({"RPC.HEALTH", "2", ""}));
-  ASSERT_EQ(Answer(client)[0], "2");  // nothing of the late answer came before
+  ASSERT_EQ(ReadResponse(client)[0], "2");  // the late response was not forwarded
 }
 
 TEST(PlatformTest, StopsAttemptsOfCancelledAndClosedClients) {
   World world;
   TcpPeer client = world.Client();
-  client.Send(Call("1"));
-  TcpPeer cache = Chosen(world);
+  client.Send(EncodeCall("1"));
+  TcpPeer cache = AcceptAtChosenCache(world);
   cache.ReadUntil("\r\n\r\n");
   client.Send(EncodeCommand({"RPC.CANCEL", "1"}));
-  ASSERT_EQ(cache.ReadUntil("\r\n"), std::string("STOP ") + kRef);
-  cache.Send(Ok("nobody's"));
+  ASSERT_EQ(cache.ReadUntil("\r\n"), std::string("STOP ") + kRequestId);
+  cache.Send(OkResponse("nobody's"));
   client.Send(EncodeCommand({"RPC.HEALTH", "2", ""}));
-  ASSERT_EQ(Answer(client)[0], "2");
-  client.Send(Call("3"));
-  TcpPeer fresh = Chosen(world);  // an id given up here goes out on another connection
+  ASSERT_EQ(ReadResponse(client)[0], "2");
+  client.Send(EncodeCall("3"));
+  TcpPeer fresh = AcceptAtChosenCache(world);  // the cancelled request id is sent on another connection
   fresh.ReadUntil("\r\n\r\n");
-  client.Close();  // the same when the connection ends
-  ASSERT_EQ(fresh.ReadUntil("\r\n"), std::string("STOP ") + kRef);
+  client.Close();  // closing the connection cancels as well
+  ASSERT_EQ(fresh.ReadUntil("\r\n"), std::string("STOP ") + kRequestId);
 }
 
-// Guards against a removed server's queued sends and sources, and against taking a new server at an old
-// address for the one that has gone.
+// A removed server must get no queued request and must not be named as a source, and a new server at the
+// address of a removed one must not be taken for it.
 TEST(PlatformTest, FollowsTheEndpointWatch) {
   World world;
   TcpPeer client = world.Client();
-  world.log.Send(Fleet(2, false,
-                       Member("s-a", world.cache_a.Address(), "box", "removed") + "," +
-                           Member("s-c", world.cache_a.Address())) +
-                 "\n" +
-                 Fleet(3, false,
-                       Member("s-b", world.cache_b.Address(), "box", "draining") + "," +
-                           Member("p-1", world.parent.Address(), "up", "draining")) +
-                 "\n3\n");
-  world.log.Close();
-  world.log = world.changelog.Accept();
-  ASSERT_EQ(world.log.ReadUntil("\n"), "since 3");  // all of it is applied by now
-  client.Send(Call("1"));
+  world.watch.Send(FleetEventJson(2, false,
+                                  EndpointJson("s-a", world.cache_a.Address(), "box", "removed") + "," +
+                                      EndpointJson("s-c", world.cache_a.Address())) +
+                   "\n" +
+                   FleetEventJson(3, false,
+                                  EndpointJson("s-b", world.cache_b.Address(), "box", "draining") + "," +
+                                      EndpointJson("p-1", world.parent.Address(), "up", "draining")) +
+                   "\n3\n");
+  world.watch.Close();
+  world.watch = world.changelog.Accept();
+  ASSERT_EQ(world.watch.ReadUntil("\n"), "since 3");  // all events have been applied
+  client.Send(EncodeCall("1"));
   TcpPeer cache = world.cache_a.Accept();
-  ASSERT_NE(cache.ReadUntil("\r\n\r\n").find(",miss=o-1"), std::string::npos);  // no parent is left
-  cache.Send(Ok("abc"));
-  ASSERT_EQ(Answer(client)[3], "abc");
-  // A number that is ahead, and silence: both times it connects anew.
-  world.log.Send("9\n");
-  world.log = world.changelog.Accept();
-  ASSERT_EQ(world.log.ReadUntil("\n"), "since 3");
-  ASSERT_TRUE(world.log.IsSilentFor(100));
-  world.log = world.changelog.Accept();
-  ASSERT_EQ(world.log.ReadUntil("\n"), "since 3");
+  ASSERT_NE(cache.ReadUntil("\r\n\r\n").find(",miss=o-1"), std::string::npos);  // no parent cache is left
+  cache.Send(OkResponse("abc"));
+  ASSERT_EQ(ReadResponse(client)[3], "abc");
+  // It reconnects after a sequence number that is ahead of the events, and after silence.
+  world.watch.Send("9\n");
+  world.watch = world.changelog.Accept();
+  ASSERT_EQ(world.watch.ReadUntil("\n"), "since 3");
+  ASSERT_TRUE(world.watch.IsSilentFor(100));
+  world.watch = world.changelog.Accept();
+  ASSERT_EQ(world.watch.ReadUntil("\n"), "since 3");
 }
 
-// Guards against a change log that moves: what it tells from then on comes from the new address. State and
-// open requests stay, and a file that cannot be used changes nothing.
+// A reload changes the address of the endpoint watch: later events come from the new address. State and
+// requests in flight stay, and a configuration file that is invalid changes nothing.
 TEST(PlatformTest, FollowsAReloadedConfiguration) {
   World world;
   TcpPeer client = world.Client();
-  client.Send(Call("1"));
-  TcpPeer cache = Chosen(world);
+  client.Send(EncodeCall("1"));
+  TcpPeer cache = AcceptAtChosenCache(world);
   cache.ReadUntil("\r\n\r\n");
   const auto reload = [&](const std::string& text) {
     std::ofstream(world.file->path) << text;
@@ -154,104 +159,111 @@
   };
   reload("{\"seed\": half a fi");
   ASSERT_NE(world.program->ReadLogThrough("old one holds").find("JSON"), std::string::npos);
-  TcpListener moved;
+  TcpListener new_changelog;
   std::string config = world.config;
-  config.replace(config.find(world.changelog.Address()), world.changelog.Address().size(), moved.Address());
-  world.log.Send(Fleet(2, false, Member("s-x", world.cache_a.Address())) + "\n");
-  world.log.Close();
-  world.log = world.changelog.Accept();
-  ASSERT_EQ(world.log.ReadUntil("\n"), "since 2");  // the old one is still followed
+  config.replace(config.find(world.changelog.Address()), world.changelog.Address().size(),
+                 new_changelog.Address());
+  world.watch.Send(FleetEventJson(2, false, EndpointJson("s-x", world.cache_a.Address())) + "\n");
+  world.watch.Close();
+  world.watch = world.changelog.Accept();
+  ASSERT_EQ(world.watch.ReadUntil("\n"), "since 2");  // the old watch is still followed
   reload(config);
-  TcpPeer log = moved.Accept();
-  ASSERT_EQ(log.ReadUntil("\n"), "since 2");
-  ASSERT_TRUE(world.log.ReadToEnd().empty());
-  cache.Send(Ok("abc"));
-  ASSERT_EQ(Answer(client), (std::vector<std::string>{"1", "done", "", "abc"}));
+  TcpPeer watch = new_changelog.Accept();
+  ASSERT_EQ(watch.ReadUntil("\n"), "since 2");
+  ASSERT_TRUE(world.watch.ReadToEnd().empty());
+  cache.Send(OkResponse("abc"));
+  ASSERT_EQ(ReadResponse(client), (std::vector<std::string>{"1", "done", "", "abc"}));
 }
 
-// Guards against a change log that tells half an event and stops, tells events twice, or one that nobody can
-// use: none may keep the later ones away.
+// The endpoint watch sends an incomplete event and stalls, sends events twice, or sends an invalid event:
+// none of these may block later events.
 TEST(PlatformTest, RecoversFromMalformedEndpointEvents) {
   World world;
-  const std::string bad = R"({"seq":2,"fleet":{"servers":[{"id":"s-q","kind":"unheard of"}]}})";
-  const std::string gone = Fleet(3, false, Member("s-a", world.cache_a.Address(), "box", "removed"));
-  world.log.Send(bad + "\n" + gone + "\n");
-  world.log = world.changelog.Accept();
-  ASSERT_EQ(world.log.ReadUntil("\n"), "since 1");  // it may have been spoilt on the way: asked for once more
-  world.log.Send(bad + "\n" + gone + "\n");
-  world.log = world.changelog.Accept();
-  ASSERT_EQ(world.log.ReadUntil("\n"), "since 2");
-  const std::string event = Fleet(4, false, Member("p-1", world.parent.Address(), "up", "removed"));
-  world.log.Send(gone + "\n" + gone + "\n");
+  const std::string malformed = R"({"seq":2,"fleet":{"servers":[{"id":"s-q","kind":"unheard of"}]}})";
+  const std::string gone =
+      FleetEventJson(3, false, EndpointJson("s-a", world.cache_a.Address(), "box", "removed"));
+  world.watch.Send(malformed + "\n" + gone + "\n");
+  world.watch = world.changelog.Accept();
+  // The event may have been corrupted in transit: it is requested once more.
+  ASSERT_EQ(world.watch.ReadUntil("\n"), "since 1");
+  world.watch.Send(malformed + "\n" + gone + "\n");
+  world.watch = world.changelog.Accept();
+  ASSERT_EQ(world.watch.ReadUntil("\n"), "since 2");
+  const std::string event =
+      FleetEventJson(4, false, EndpointJson("p-1", world.parent.Address(), "up", "removed"));
+  world.watch.Send(gone + "\n" + gone + "\n");
   const auto start = UnixMs();
-  for (const char one : event.substr(0, 15)) {  // bytes come, but no line ends
-    world.log.Send(std::string(1, one));
+  for (const char one : event.substr(0, 15)) {  // bytes arrive, but no complete line
+    world.watch.Send(std::string(1, one));
     ::usleep(100'000);
   }
-  TcpPeer log = world.changelog.Accept();
-  ASSERT_EQ(log.ReadUntil("\n"), "since 3");
+  TcpPeer watch = world.changelog.Accept();
+  ASSERT_EQ(watch.ReadUntil("\n"), "since 3");
   ASSERT_LT(UnixMs() - start, 3'000);
-  log.Send(event + "\n");
-  log.Close();
+  watch.Send(event + "\n");
+  watch.Close();
   ASSERT_EQ(world.changelog.Accept().ReadUntil("\n"), "since 4");
   TcpPeer client = world.Client();
-  client.Send(Call("1"));
+  client.Send(EncodeCall("1"));
   ASSERT_NE(world.cache_b.Accept().ReadUntil("\r\n\r\n").find(",miss=o-1"), std::string::npos);
 }
 
-// No copy older than a purge goes out once the grace is over, whatever the cache says.
+// Once the grace period of a purge is over, no copy older than the purge is delivered, whatever the cache
+// sends.
 TEST(PlatformTest, AppliesPurgesToCachedResponses) {
   World world;
   const auto purged = UnixMs();
-  world.log.Send(R"({"seq":2,"invalidate":{"object":"7f3a9c21e0b4d655","time":)" + std::to_string(purged) +
-                 "}}\n" + R"({"seq":3,"invalidate":{"bucket":200,"time":)" + std::to_string(purged) + "}}\n");
-  world.log.Close();
-  world.log = world.changelog.Accept();
-  ASSERT_EQ(world.log.ReadUntil("\n"), "since 3");
+  world.watch.Send(R"({"seq":2,"invalidate":{"object":"7f3a9c21e0b4d655","time":)" + std::to_string(purged) +
+                   "}}\n" + R"({"seq":3,"invalidate":{"bucket":200,"time":)" + std::to_string(purged) +
+                   "}}\n");
+  world.watch.Close();
+  world.watch = world.changelog.Accept();
+  ASSERT_EQ(world.watch.ReadUntil("\n"), "since 3");
   while (UnixMs() < purged + 1'300) ::usleep(10'000);
   TcpPeer client = world.Client();
-  client.Send(Call("1"));
+  client.Send(EncodeCall("1"));
   bool first = false;
-  TcpPeer cache = Chosen(world, &first);
+  TcpPeer cache = AcceptAtChosenCache(world, &first);
   const std::string line = cache.ReadUntil("\r\n\r\n");
   const std::size_t at = line.find(",within=");
   ASSERT_NE(at, std::string::npos);
   ASSERT_LE(std::stol(line.substr(at + 8)), UnixMs() - purged);
-  ASSERT_EQ(line.find("share"), std::string::npos);  // a fill under way may have begun before the purge
-  cache.Send(std::string(kRef) + " OK entity=e0,issued=" + std::to_string(purged - 5) + " 3\r\nold\r\n");
+  ASSERT_EQ(line.find("share"), std::string::npos);  // a fill in progress may have begun before the purge
+  cache.Send(std::string(kRequestId) + " OK entity=e0,issued=" + std::to_string(purged - 5) +
+             " 3\r\nold\r\n");
   TcpPeer next = (first ? world.cache_b : world.cache_a).Accept();
   next.ReadUntil("\r\n\r\n");
-  next.Send(Ok("new"));
-  ASSERT_EQ(Answer(client)[3], "new");
+  next.Send(OkResponse("new"));
+  ASSERT_EQ(ReadResponse(client)[3], "new");
 }
 
 TEST(PlatformTest, ClosesConnectionsOnMalformedInput) {
   World world;
-  for (const std::string& bad :
+  for (const std::string& malformed :
        {std::string("GET / HTTP/1.1\r\n\r\n"), std::string("*1\r\n$99999999\r\n"), std::string("*0\r\n"),
         std::string("*-3\r\n"), std::string("*2\r\n$8\r\nRPC.CALL\r\n$70000\r\n")}) {
     TcpPeer client = world.Client();
-    client.Send(bad);
+    client.Send(malformed);
     ASSERT_TRUE(client.ReadToEnd().empty());
   }
   TcpPeer client = world.Client();
-  client.Send(Call("1"));
-  TcpPeer cache = Chosen(world);
+  client.Send(EncodeCall("1"));
+  TcpPeer cache = AcceptAtChosenCache(world);
   cache.ReadUntil("\r\n\r\n");
-  cache.Send("no answer\r\n");  // nor does a server's
-  ASSERT_EQ(cache.ReadToEnd(), std::string("STOP ") + kRef + "\r\n");
+  cache.Send("no answer\r\n");  // malformed input from a server
+  ASSERT_EQ(cache.ReadToEnd(), std::string("STOP ") + kRequestId + "\r\n");
 }
 
-// Guards against one unusable message taking along what else is open on its connection, against two requests
-// under one id, and against a flood that keeps others waiting.
+// An invalid message must not fail other requests on its connection, two requests must not share an id, and a
+// flood of requests must not delay other clients.
 TEST(PlatformTest, RejectsOnlyTheUnusableRequest) {
   World world;
   TcpPeer client = world.Client();
-  client.Send(Call("1"));
-  TcpPeer cache = Chosen(world);
+  client.Send(EncodeCall("1"));
+  TcpPeer cache = AcceptAtChosenCache(world);
   cache.ReadUntil("\r\n\r\n");
-  const std::string start = std::string("ref=") + kOther + ",allow=";
-  const std::vector<std::vector<std::string>> bad{
+  const std::string start = std::string("ref=") + kOtherRequestId + ",allow=";
+  const std::vector<std::vector<std::string>> malformed{
       {"RPC.CALL", "2", "nonsense", start + "500", ""},
       {"RPC.CALL", "2", "pages", start + "500,lookup=zz", ""},
       {"RPC.CALL", "2", "pages", start + "500,replay=a b", ""},
@@ -261,81 +273,83 @@
       {"RPC.CALL", "2", "pages", start + "-1", ""},
       {"RPC.CALL", "2", "pages", start + "500,family=256", ""},
       {"RPC.CALL", "2", "pages", "allow=500", ""},
-      {"RPC.CALL", "2", "pages", std::string("ref=") + kRef + ",allow=500,lookup=00003a9c21e0b4d6", ""},
+      {"RPC.CALL", "2", "pages", std::string("ref=") + kRequestId + ",allow=500,lookup=00003a9c21e0b4d6", ""},
       {"RPC.SING", "2"}};
-  for (const auto& words : bad) {
+  for (const auto& words : malformed) {
     client.Send(EncodeCommand(words));
-    ASSERT_EQ(Answer(client), (std::vector<std::string>{"2", "error", "", ""}));
+    ASSERT_EQ(ReadResponse(client), (std::vector<std::string>{"2", "error", "", ""}));
   }
   client.Send(EncodeCommand({"RPC.CALL", "x", "pages", start + "500", ""}));
-  ASSERT_EQ(Answer(client)[1], "error");
-  // A flood on another connection: 32 at most are open, the others are told at once, by whichever word.
+  ASSERT_EQ(ReadResponse(client)[1], "error");
+  // A flood on another connection: at most 32 requests are in flight, the others are rejected at once, with
+  // any status but "done".
   TcpPeer flood = world.Client();
   std::string many;
   for (int i = 100; i < 400; ++i) {
-    many += Call(std::to_string(i), "", 2500, "7f3a9c21e0b4d655", "9b1f03aa5c7e2" + std::to_string(i));
+    many += EncodeCall(std::to_string(i), "", 2500, "7f3a9c21e0b4d655", "9b1f03aa5c7e2" + std::to_string(i));
   }
   flood.Send(many);
   for (int i = 0; i < 268; ++i) {
-    ASSERT_NE(Answer(flood)[1], "done");
+    ASSERT_NE(ReadResponse(flood)[1], "done");
   }
-  cache.Send(Ok("abc"));
-  ASSERT_EQ(Answer(client), (std::vector<std::string>{"1", "done", "", "abc"}));
-  // Two requests under one number: one answer, which serves neither.
-  client.Send(Call("5", "", 2500, "7f3a9c21e0b4d655", kOther));
-  client.Send(Call("5", "", 2500, "7f3a9c21e0b4d655", "9b1f03aa5c7e2d43"));
-  ASSERT_EQ(Answer(client), (std::vector<std::string>{"5", "error", "", ""}));
+  cache.Send(OkResponse("abc"));
+  ASSERT_EQ(ReadResponse(client), (std::vector<std::string>{"1", "done", "", "abc"}));
+  // Two requests with the same tag: one response, which is an error.
+  client.Send(EncodeCall("5", "", 2500, "7f3a9c21e0b4d655", kOtherRequestId));
+  client.Send(EncodeCall("5", "", 2500, "7f3a9c21e0b4d655", "9b1f03aa5c7e2d43"));
+  ASSERT_EQ(ReadResponse(client), (std::vector<std::string>{"5", "error", "", ""}));
   client.Send(EncodeCommand({"RPC.HEALTH", "6", ""}));
-  ASSERT_EQ(Answer(client)[0], "6");
+  ASSERT_EQ(ReadResponse(client)[0], "6");
 }
 
-// Guards against connections that say nothing, or half of something, or that asked once and stay: they are
-// let go, and they never keep others out.
+// Connections that send nothing, send half a request or stay open after one request are closed, and never
+// prevent other clients from being served.
 TEST(PlatformTest, ClosesIdleClients) {
   World world(0, true, "64");
   TcpPeer client = world.Client();
-  client.Send(Call("1"));
-  TcpPeer cache = Chosen(world);
+  client.Send(EncodeCall("1"));
+  TcpPeer cache = AcceptAtChosenCache(world);
   cache.ReadUntil("\r\n\r\n");
   const auto start = UnixMs();
-  TcpPeer silent = world.Client(), half = world.Client(), withdrawn = world.Client();
+  TcpPeer silent_client = world.Client(), half = world.Client(), withdrawn = world.Client();
   half.Send("*5\r\n$8\r\nRPC.CALL\r\n$1\r\n");
-  withdrawn.Send(Call("1", "", 2500, "7f3a9c21e0b4d655", kOther) + EncodeCommand({"RPC.CANCEL", "1"}));
-  std::vector<TcpPeer> holders;
-  for (int i = 0; i < 100; ++i) {  // more than there is place for
-    holders.push_back(world.Client());
-    holders.back().Send(EncodeCommand({"RPC.HEALTH", "1", ""}));
-    ASSERT_EQ(Answer(holders.back())[1], "healthy");
+  withdrawn.Send(EncodeCall("1", "", 2500, "7f3a9c21e0b4d655", kOtherRequestId) +
+                 EncodeCommand({"RPC.CANCEL", "1"}));
+  std::vector<TcpPeer> idle_clients;
+  for (int i = 0; i < 100; ++i) {  // more than the instance has room for
+    idle_clients.push_back(world.Client());
+    idle_clients.back().Send(EncodeCommand({"RPC.HEALTH", "1", ""}));
+    ASSERT_EQ(ReadResponse(idle_clients.back())[1], "healthy");
   }
-  ASSERT_TRUE(holders.front().ReadToEnd().empty());
-  cache.Send(Ok("abc"));  // what has a request open stays throughout
-  ASSERT_EQ(Answer(client)[3], "abc");
-  for (TcpPeer* const one : {&silent, &half, &withdrawn}) {
+  ASSERT_TRUE(idle_clients.front().ReadToEnd().empty());
+  cache.Send(OkResponse("abc"));  // a connection with a request in flight stays open throughout
+  ASSERT_EQ(ReadResponse(client)[3], "abc");
+  for (TcpPeer* const one : {&silent_client, &half, &withdrawn}) {
     ASSERT_TRUE(one->ReadToEnd().empty());
   }
   ASSERT_LT(UnixMs() - start, 3'000);
 }
 
-// Guards against a server that stops half way through an answer: what waits on that connection goes
+// A server stops in the middle of a response: the requests that wait on that connection are retried
 // elsewhere.
 TEST(PlatformTest, RetriesElsewhereAfterAStalledResponse) {
   World world;
   TcpPeer client = world.Client();
   const auto start = UnixMs();
-  client.Send(Call("1", "", 10'000));
-  TcpPeer cache = Chosen(world);
+  client.Send(EncodeCall("1", "", 10'000));
+  TcpPeer cache = AcceptAtChosenCache(world);
   cache.ReadUntil("\r\n\r\n");
-  cache.Send(std::string(kRef) + " OK entity=e,issued=1 100\r\nhalf");
-  ASSERT_EQ(cache.ReadToEnd(), std::string("STOP ") + kRef + "\r\n");
-  TcpPeer next = Chosen(world);
+  cache.Send(std::string(kRequestId) + " OK entity=e,issued=1 100\r\nhalf");
+  ASSERT_EQ(cache.ReadToEnd(), std::string("STOP ") + kRequestId + "\r\n");
+  TcpPeer next = AcceptAtChosenCache(world);
   next.ReadUntil("\r\n\r\n");
-  next.Send(Ok("whole"));
-  ASSERT_EQ(Answer(client)[3], "whole");
+  next.Send(OkResponse("whole"));
+  ASSERT_EQ(ReadResponse(client)[3], "whole");
   ASSERT_LT(UnixMs() - start, 1'500);
 }
 
-// Guards against a connection on which nothing comes any more while its server lives: it gets nothing new,
-// and what waits on it is tried again in time.
+// Nothing arrives on one connection any more while its server responds on another: the silent connection gets
+// no new request, and the requests that wait on it are retried in time.
 TEST(PlatformTest, SendsNothingNewOnASilentConnection) {
   World world(0, false);
   TcpPeer client = world.Client();
@@ -347,71 +361,73 @@
   std::vector<std::string> refs;
   for (int i = 10; i < 30; ++i) refs.push_back("9b1f03aa5c7e2d" + std::to_string(i));
   for (int i = 0; i < 5; ++i) ask(std::to_string(i + 1), refs[i]);
-  TcpPeer dead = world.cache_a.Accept();
-  for (int i = 0; i < 4; ++i) dead.ReadUntil("\r\n\r\n");
-  TcpPeer live = world.cache_a.Accept();  // the risk is spread
-  ASSERT_TRUE(live.ReadUntil("\r\n\r\n").starts_with("REQ " + refs[4]));
-  ASSERT_TRUE(dead.IsSilentFor(600));  // that another connection came up is no word of the server
-  live.Send(Ok("abc", "", refs[4]));
-  ASSERT_EQ(Answer(client)[0], "5");
-  // Silent for too long, while the other spoke. What it owed goes out again: STOP first, as a close may come
-  // late.
-  const std::string end = dead.ReadToEnd();
+  TcpPeer silent_connection = world.cache_a.Accept();
+  for (int i = 0; i < 4; ++i) silent_connection.ReadUntil("\r\n\r\n");
+  TcpPeer live_connection = world.cache_a.Accept();  // requests are spread over several connections
+  ASSERT_TRUE(live_connection.ReadUntil("\r\n\r\n").starts_with("REQ " + refs[4]));
+  ASSERT_TRUE(silent_connection.IsSilentFor(600));  // a new connection alone is no sign of life of the server
+  live_connection.Send(OkResponse("abc", "", refs[4]));
+  ASSERT_EQ(ReadResponse(client)[0], "5");
+  // Silent for too long while the other connection responded: its requests are sent again. STOP comes first,
+  // as the server may notice a close late.
+  const std::string end = silent_connection.ReadToEnd();
   for (int i = 0; i < 4; ++i) {
     ASSERT_NE(end.find("STOP " + refs[i] + "\r\n"), std::string::npos);
   }
   for (int i = 0; i < 4; ++i) {
-    const std::string line = live.ReadUntil("\r\n\r\n");
-    live.Send(Ok("def", "", line.substr(4, 16)));
-    ASSERT_EQ(Answer(client)[3], "def");
+    const std::string line = live_connection.ReadUntil("\r\n\r\n");
+    live_connection.Send(OkResponse("def", "", line.substr(4, 16)));
+    ASSERT_EQ(ReadResponse(client)[3], "def");
   }
 }
 
-// Guards against an answer that came before it was asked for, and against a copy of one that was: neither may
-// serve what comes later under that id.
+// A server sends a response twice, and one for a request that it never got: neither may be used for a later
+// request with that id.
 TEST(PlatformTest, IgnoresUnsolicitedResponses) {
   World world(0, false);
   TcpPeer client = world.Client();
-  client.Send(Call("1"));
+  client.Send(EncodeCall("1"));
   TcpPeer cache = world.cache_a.Accept();
   cache.ReadUntil("\r\n\r\n");
-  cache.Send(Ok("abc") + Ok("abc") + Ok("not yours", "", kOther));
-  ASSERT_EQ(Answer(client)[3], "abc");
+  cache.Send(OkResponse("abc") + OkResponse("abc") + OkResponse("not yours", "", kOtherRequestId));
+  ASSERT_EQ(ReadResponse(client)[3], "abc");
   client.Send(EncodeCommand({"RPC.HEALTH", "2", ""}));
-  ASSERT_EQ(Answer(client)[0], "2");
-  client.Send(Call("3", "", 2500, "7f3a9c21e0b4d655", kOther));
-  TcpPeer fresh = world.cache_a.Accept();  // that id does not go out where it has been answered
-  ASSERT_TRUE(fresh.ReadUntil("\r\n\r\n").starts_with(std::string("REQ ") + kOther));
-  fresh.Send(Ok("right", "", kOther));
-  ASSERT_EQ(Answer(client), (std::vector<std::string>{"3", "done", "", "right"}));
+  ASSERT_EQ(ReadResponse(client)[0], "2");
+  client.Send(EncodeCall("3", "", 2500, "7f3a9c21e0b4d655", kOtherRequestId));
+  TcpPeer fresh = world.cache_a.Accept();  // that id is not sent on a connection where it has been answered
+  ASSERT_TRUE(fresh.ReadUntil("\r\n\r\n").starts_with(std::string("REQ ") + kOtherRequestId));
+  fresh.Send(OkResponse("right", "", kOtherRequestId));
+  ASSERT_EQ(ReadResponse(client), (std::vector<std::string>{"3", "done", "", "right"}));
 }
 
-// A planned restart: clients are taken for a while yet, what was taken is finished, and the end is clean.
+// Graceful shutdown: clients are accepted for a while, accepted requests are finished, and the exit status is
+// 0.
 TEST(PlatformTest, ShutsDownGracefully) {
   World world;
   TcpPeer client = world.Client();
-  client.Send(Call("1"));
-  TcpPeer cache = Chosen(world);
+  client.Send(EncodeCall("1"));
+  TcpPeer cache = AcceptAtChosenCache(world);
   cache.ReadUntil("\r\n\r\n");
   world.program->Signal(SIGTERM);
   world.program->ReadLogThrough("stopping");
   TcpPeer late = world.Client();
   late.Send(EncodeCommand({"RPC.HEALTH", "7", ""}));
-  ASSERT_EQ(Answer(late)[1], "closing");
-  ASSERT_TRUE(late.ReadToEnd().empty());  // idle, and the time for new ones is over
-  cache.Send(Ok("abc"));
-  ASSERT_EQ(Answer(client)[3], "abc");
+  ASSERT_EQ(ReadResponse(late)[1], "closing");
+  ASSERT_TRUE(late.ReadToEnd().empty());  // it is idle, and new requests are no longer accepted
+  cache.Send(OkResponse("abc"));
+  ASSERT_EQ(ReadResponse(client)[3], "abc");
   ASSERT_EQ(world.program->Wait(), 0);
 }
 
-// Guards against a listener that never hears of a waiting client again once descriptors ran out.
+// After descriptors ran out, the listener must still notice waiting clients: its epoll event must not get
+// lost.
 TEST(PlatformTest, SurvivesDescriptorExhaustion) {
   World world(40);
   std::vector<TcpPeer> clients;
   for (int i = 0; i < 60; ++i) clients.push_back(world.Client());
-  ASSERT_TRUE(clients.back().ReadToEnd().empty());  // taken and closed at once, not left waiting
+  ASSERT_TRUE(clients.back().ReadToEnd().empty());  // accepted and closed at once, not left in the backlog
   clients.clear();
-  for (int i = 0;; ++i) {  // those that went are closed on the other side in its own time
+  for (int i = 0;; ++i) {  // the instance needs some time to close the connections on its side
     TcpPeer client = world.Client();
     client.Send(EncodeCommand({"RPC.HEALTH", "1", ""}));
     if (!client.ReadUntilOrEmpty("healthy").empty()) break;
@@ -419,29 +435,29 @@
   }
 }
 
-// A client that takes nothing of its answers, and one that is served meanwhile.
+// A client reads none of its responses for a while; another client is served meanwhile.
 TEST(PlatformTest, BuffersForASlowClient) {
   World world(0, false);
   TcpPeer slow = world.Client(), client = world.Client();
   const std::string body(240'000, 'x');
   TcpPeer cache;
-  for (int i = 10; i < 42; ++i) {  // each is answered before the next is asked, and none is read
+  for (int i = 10; i < 42; ++i) {  // each is answered before the next is sent, and none is read
     const std::string ref = "9b1f03aa5c7e2d" + std::to_string(i);
-    slow.Send(Call(std::to_string(i), "", 2500, "7f3a9c21e0b4d655", ref));
+    slow.Send(EncodeCall(std::to_string(i), "", 2500, "7f3a9c21e0b4d655", ref));
     if (i == 10) cache = world.cache_a.Accept();
     ASSERT_TRUE(cache.ReadUntil("\r\n\r\n").starts_with("REQ " + ref));
-    client.Send(Call(std::to_string(i), "", 2500, "7f3a9c21e0b4d655", kOther));
-    ASSERT_TRUE(cache.ReadUntil("\r\n\r\n").starts_with(std::string("REQ ") + kOther));
-    cache.Send(Ok(body, "", ref) + Ok("abc", "", kOther));
-    ASSERT_EQ(Answer(client)[3], "abc");  // so the one before it on the wire is through as well
+    client.Send(EncodeCall(std::to_string(i), "", 2500, "7f3a9c21e0b4d655", kOtherRequestId));
+    ASSERT_TRUE(cache.ReadUntil("\r\n\r\n").starts_with(std::string("REQ ") + kOtherRequestId));
+    cache.Send(OkResponse(body, "", ref) + OkResponse("abc", "", kOtherRequestId));
+    ASSERT_EQ(ReadResponse(client)[3], "abc");  // so the response before it has been received as well
   }
   for (int i = 10; i < 42; ++i) {
-    ASSERT_EQ(Answer(slow), (std::vector<std::string>{std::to_string(i), "done", "", body}));
+    ASSERT_EQ(ReadResponse(slow), (std::vector<std::string>{std::to_string(i), "done", "", body}));
   }
 }
 
-// Clients that read nothing and have filled their share of the memory hold the servers' answers back, and so
-// everybody else: they are let go soon, not after the 10 s that a slow one has otherwise.
+// Clients that read nothing and have used up the memory for responses hold up the responses from the servers,
+// and so all other clients: they are disconnected soon, not after the 10 s that a slow client has otherwise.
 TEST(PlatformTest, ClosesStalledReadersThatHoldUpOthers) {
   World world(0, false, "1024", "32");
   std::vector<TcpPeer> slow;
@@ -450,75 +466,79 @@
   for (int i = 100; i < 228; ++i) {
     if ((i - 100) % 32 == 0) slow.push_back(world.Client());
     const std::string ref = "9b1f03aa5c7e2" + std::to_string(i);
-    slow.back().Send(Call(std::to_string(i), "", 2500, "7f3a9c21e0b4d655", ref));
+    slow.back().Send(EncodeCall(std::to_string(i), "", 2500, "7f3a9c21e0b4d655", ref));
     if (i == 100) cache = world.cache_a.Accept();
     ASSERT_TRUE(cache.ReadUntil("\r\n\r\n").starts_with("REQ " + ref));
-    client.Send(Call(std::to_string(i), "", 2500, "7f3a9c21e0b4d655", kOther));
-    ASSERT_TRUE(cache.ReadUntil("\r\n\r\n").starts_with(std::string("REQ ") + kOther));
-    cache.Send(Ok(body, "", ref) + Ok("abc", "", kOther));
+    client.Send(EncodeCall(std::to_string(i), "", 2500, "7f3a9c21e0b4d655", kOtherRequestId));
+    ASSERT_TRUE(cache.ReadUntil("\r\n\r\n").starts_with(std::string("REQ ") + kOtherRequestId));
+    cache.Send(OkResponse(body, "", ref) + OkResponse("abc", "", kOtherRequestId));
     const auto start = UnixMs();
-    ASSERT_EQ(Answer(client)[3], "abc");
-    if (UnixMs() - start > 300) break;  // it was held up, and is not any more
+    ASSERT_EQ(ReadResponse(client)[3], "abc");
+    if (UnixMs() - start > 300) break;  // it was held up, and then released
   }
   world.program->ReadLogThrough("takes no answers, connection closed");
 }
 
-// A client that reads 1 MB a second and a change log that breaks off in the middle of a line and stalls,
-// beside a client that is served meanwhile: neither may hold it up, the slow one gets every byte unchanged,
-// and the change log is connected anew and followed. Guards against answers queued behind a thin line and a
-// loop that waits on a half line.
+// One client reads 1 MB a second, and the endpoint watch stalls in the middle of a line. Neither may delay
+// another client, the slow client gets every byte unchanged, and the watch is reconnected and followed.
+// Guards against responses queued behind a slow connection and against an event loop that waits for the rest
+// of a line.
 TEST(PlatformTest, ServesBesideASlowReaderAndAStalledEndpointWatch) {
   World world(0, false);
   TcpPeer slow = world.Client(), client = world.Client(), cache;
-  const int kept =
-      64 * 1024;  // so that the slow one's kernel buffer holds little and the doorman holds the rest
-  ASSERT_EQ(::setsockopt(slow.Descriptor(), SOL_SOCKET, SO_RCVBUF, &kept, sizeof kept), 0);
+  // The kernel buffers little for the slow client, so that the instance has to buffer the rest.
+  const int receive_buffer_size = 64 * 1024;
+  ASSERT_EQ(::setsockopt(slow.Descriptor(), SOL_SOCKET, SO_RCVBUF, &receive_buffer_size,
+                         sizeof receive_buffer_size),
+            0);
   std::string body(240'000, 'x');
   for (std::size_t i = 0; i < body.size(); ++i) body[i] = static_cast<char>('a' + i % 26);
   std::vector<std::string> expected;
-  for (int i = 10; i < 18; ++i) {  // 1.9 MB in all, for the slow one to read at 1 MB a second
+  for (int i = 10; i < 18; ++i) {  // 1.9 MB in all, which the slow client reads at 1 MB a second
     const std::string ref = "9b1f03aa5c7e2d" + std::to_string(i);
-    slow.Send(Call(std::to_string(i), "", 2500, "7f3a9c21e0b4d655", ref));
+    slow.Send(EncodeCall(std::to_string(i), "", 2500, "7f3a9c21e0b4d655", ref));
     if (i == 10) cache = world.cache_a.Accept();
     ASSERT_TRUE(cache.ReadUntil("\r\n\r\n").starts_with("REQ " + ref));
-    cache.Send(Ok(body, "", ref));
+    cache.Send(OkResponse(body, "", ref));
     expected.push_back(EncodeCommand({std::to_string(i), "done", "", body}));
   }
-  std::string all;
-  for (const auto& one : expected) all += one;
+  std::string expected_bytes;
+  for (const auto& one : expected) expected_bytes += one;
   const auto start = UnixMs();
-  std::string read;
-  TestThread reader([&] { read = slow.ReadPaced(all.size(), 1e6); });
-  // The change log breaks off in the middle of an event and says nothing more.
-  const std::string event = Fleet(2, false, Member("p-1", world.parent.Address(), "up", "removed"));
-  world.log.Send(event.substr(0, 20));
-  std::int64_t worst = 0;
-  for (int i = 0; i < 15; ++i) {  // one request each 100 ms while the slow one reads
-    client.Send(Call(std::to_string(100 + i), "", 2500, "7f3a9c21e0b4d655", kOther));
-    ASSERT_TRUE(cache.ReadUntil("\r\n\r\n").starts_with(std::string("REQ ") + kOther));
+  std::string received_bytes;
+  TestThread reader([&] { received_bytes = slow.ReadPaced(expected_bytes.size(), 1e6); });
+  // The endpoint watch stops in the middle of an event.
+  const std::string event =
+      FleetEventJson(2, false, EndpointJson("p-1", world.parent.Address(), "up", "removed"));
+  world.watch.Send(event.substr(0, 20));
+  std::int64_t longest_ms = 0;
+  for (int i = 0; i < 15; ++i) {  // one request every 100 ms while the slow client reads
+    client.Send(EncodeCall(std::to_string(100 + i), "", 2500, "7f3a9c21e0b4d655", kOtherRequestId));
+    ASSERT_TRUE(cache.ReadUntil("\r\n\r\n").starts_with(std::string("REQ ") + kOtherRequestId));
     const auto answered = UnixMs();
-    cache.Send(Ok("abc", "", kOther));
-    ASSERT_EQ(Answer(client)[3], "abc");
-    worst = std::max(worst, UnixMs() - answered);
+    cache.Send(OkResponse("abc", "", kOtherRequestId));
+    ASSERT_EQ(ReadResponse(client)[3], "abc");
+    longest_ms = std::max(longest_ms, UnixMs() - answered);
     ::usleep(100'000);
   }
-  ASSERT_LT(worst,
-            100);  // from the cache's answer to the client's, while a slow one and a stalled log are there
-  TcpPeer log = world.changelog.Accept();  // a change log without a whole line for 1.8 s is connected anew
-  ASSERT_EQ(log.ReadUntil("\n"), "since 1");
+  // From the cache's response to the client's, beside the slow client and the stalled watch.
+  ASSERT_LT(longest_ms, 100);
+  TcpPeer watch = world.changelog.Accept();  // reconnected after 1.8 s without a complete line
+  ASSERT_EQ(watch.ReadUntil("\n"), "since 1");
   ASSERT_LT(UnixMs() - start, 3'000);
-  log.Send(event + "\n");
-  log.Close();
+  watch.Send(event + "\n");
+  watch.Close();
   ASSERT_EQ(world.changelog.Accept().ReadUntil("\n"), "since 2");  // and followed
   reader.Join();
-  ASSERT_GE(UnixMs() - start, 1'500);  // it was read slowly...
-  ASSERT_TRUE(read == all);            // ...and every byte is there, in order
+  ASSERT_GE(UnixMs() - start, 1'500);             // the client did read slowly
+  ASSERT_TRUE(received_bytes == expected_bytes);  // and got every byte in order
 }
 
-// Called off while its connection was not up and asked for again there, a request waited on it twice and went
-// out twice: a second copy. Where the connection comes up just as the attempt's time runs out (it is called
-// off each aim, 250 ms, and the SYN is sent again after 1 s), STOP follows at once, and a next attempt may
-// follow that; what must never come is a second REQ without a STOP before it.
+// Fault: an attempt that was cancelled while its connection was being established and then made again on the
+// same connection was queued there twice and sent twice, as two copies of one request. An attempt is
+// cancelled after each latency objective of 250 ms, and the SYN is sent again after 1 s. If the connection is
+// established just when an attempt times out, STOP follows at once and another attempt may follow; a second
+// REQ without a STOP before it must never come.
 TEST(PlatformTest, SendsOneCopyOnASlowConnection) {
   std::string settings = kSettings;
   for (const auto& [from, to] : {std::pair{R"("promiseMs":2000.0,"aimStretch":2.0)", R"("promiseMs":250.0)"},
@@ -528,14 +548,14 @@
   }
   World world(0, false, "1024", "192", settings);
   ASSERT_EQ(::listen(world.cache_a.Descriptor(), 0), 0);
-  TcpPeer first =
-      TcpPeer::Connect(world.cache_a.port);  // fills the queue: the next one's SYN is dropped, and sent again
+  // Fills the backlog: the next SYN is dropped and sent again.
+  TcpPeer first = TcpPeer::Connect(world.cache_a.port);
   TcpPeer client = world.Client();
-  client.Send(Call("1", "", 10'000));
-  ASSERT_TRUE(client.IsSilentFor(600));  // past the aim: called off and asked for again
+  client.Send(EncodeCall("1", "", 10'000));
+  ASSERT_TRUE(client.IsSilentFor(600));  // past the latency objective: cancelled and attempted again
   world.cache_a.Accept();
   TcpPeer cache = world.cache_a.Accept();
-  ASSERT_TRUE(cache.ReadUntil("\r\n\r\n").starts_with(std::string("REQ ") + kRef));
+  ASSERT_TRUE(cache.ReadUntil("\r\n\r\n").starts_with(std::string("REQ ") + kRequestId));
   const std::string after = cache.ReadFor(150);
   bool stopped = false;
   for (std::size_t at = 0; at < after.size();) {
@@ -543,17 +563,17 @@
     const std::string line = after.substr(at, end == std::string::npos ? std::string::npos : end - at);
     if (line.starts_with("STOP ")) stopped = true;
     if (line.starts_with("REQ ")) {
-      ASSERT_TRUE(stopped);  // a second copy while the first was out
+      ASSERT_TRUE(stopped);  // no second copy while the first is in flight
       stopped = false;
     }
     at = end == std::string::npos ? after.size() : end + 2;
   }
 }
 
-// What a server sees that reads its connections in the order in which they became ready (as epoll lists
-// them): no copy of a request while another is out. Four requests wait on one connection and their time runs
-// out while the program is held; a fifth client's request and the four's next attempts go to a second
-// connection to the same server in the very round in which the four are stopped on the first.
+// A server that reads its connections in the order in which they became ready (as epoll lists them) must
+// never see a second copy of a request while the first is in flight. Four requests wait on one connection and
+// time out while the program is stopped. Another request and the next attempts of the four go to a second
+// connection to the same server in the same event loop iteration that sends STOP for the four on the first.
 TEST(PlatformTest, SendsStopsBeforeRequestsOfTheSameRound) {
   std::string settings = kSettings;
   for (const auto& [from, to] : {std::pair{R"("promiseMs":2000.0,"aimStretch":2.0)", R"("promiseMs":800.0)"},
@@ -563,21 +583,21 @@
   World world(0, false, "1024", "192", settings);
   TcpPeer client = world.Client();
   const auto call = [&](int number) {
-    client.Send(Call(std::to_string(number), "", 10'000, "7f3a9c21e0b4d655",
-                     "9b1f03aa5c7e2d4" + std::to_string(number)));
+    client.Send(EncodeCall(std::to_string(number), "", 10'000, "7f3a9c21e0b4d655",
+                           "9b1f03aa5c7e2d4" + std::to_string(number)));
   };
   call(1);
   TcpPeer first = world.cache_a.Accept();
   for (int i = 2; i <= 4; ++i) call(i);
   for (int i = 1; i <= 4; ++i) first.ReadUntil("\r\n\r\n");
-  call(5);  // four at most on a connection while another can be opened
+  call(5);  // at most four on a connection while another can be opened
   TcpPeer second = world.cache_a.Accept();
   second.ReadUntil("\r\n\r\n");
-  second.Send(Ok("abc", "", "9b1f03aa5c7e2d45"));
-  ASSERT_EQ(Answer(client)[0], "5");
+  second.Send(OkResponse("abc", "", "9b1f03aa5c7e2d45"));
+  ASSERT_EQ(ReadResponse(client)[0], "5");
   world.program->Signal(SIGSTOP);
   call(6);
-  ASSERT_TRUE(first.IsSilentFor(1'000));  // past the four's aim
+  ASSERT_TRUE(first.IsSilentFor(1'000));  // past the latency objective of the four
   const int ready = ::epoll_create1(0);
   const std::map<int, TcpPeer*> peers{{first.Descriptor(), &first}, {second.Descriptor(), &second}};
   for (const auto& [fd, peer] : peers) {
@@ -585,11 +605,13 @@
     ASSERT_EQ(::epoll_ctl(ready, EPOLL_CTL_ADD, fd, &event), 0);
   }
   world.program->Signal(SIGCONT);
-  std::map<std::string, int> out;
-  for (int i = 1; i <= 4; ++i) out["9b1f03aa5c7e2d4" + std::to_string(i)] = first.Descriptor();
-  int stops = 0, again = 0;
-  while (again == 0) {
-    std::this_thread::sleep_for(std::chrono::milliseconds(200));  // all of the round is in
+  std::map<std::string, int> connection_of_request;
+  for (int i = 1; i <= 4; ++i)
+    connection_of_request["9b1f03aa5c7e2d4" + std::to_string(i)] = first.Descriptor();
+  int stops = 0, further_attempts = 0;
+  while (further_attempts == 0) {
+    // Everything that the iteration sent has arrived after this time.
+    std::this_thread::sleep_for(std::chrono::milliseconds(200));
     epoll_event events[2];
     const int count = ::epoll_wait(ready, events, 2, kWaitLimitMs);
     ASSERT_GT(count, 0);
@@ -604,11 +626,12 @@
         std::string word, ref;
         words >> word >> ref;
         if (word == "STOP") {
-          ASSERT_EQ(out.erase(ref), 1);
+          ASSERT_EQ(connection_of_request.erase(ref), 1);
           ++stops;
         } else if (word == "REQ") {
-          ASSERT_TRUE(out.emplace(ref, fd).second);  // a second copy while the first is out
-          again += ref != "9b1f03aa5c7e2d46";
+          // No second copy while the first is in flight.
+          ASSERT_TRUE(connection_of_request.emplace(ref, fd).second);
+          further_attempts += ref != "9b1f03aa5c7e2d46";
         }
       }
     }
@@ -618,25 +641,25 @@
 }
 
 TEST(PlatformTest, RetriesElsewhereAfterBusy) {
-  MovesOnAfter([](TcpPeer& c) { c.Send(std::string(kRef) + " BUSY - 0\r\n\r\n"); });
+  ExpectRetryAfter([](TcpPeer& c) { c.Send(std::string(kRequestId) + " BUSY - 0\r\n\r\n"); });
 }
 
 TEST(PlatformTest, RetriesElsewhereAfterMiss) {
-  MovesOnAfter([](TcpPeer& c) { c.Send(std::string(kRef) + " MISS - 0\r\n\r\n"); });
+  ExpectRetryAfter([](TcpPeer& c) { c.Send(std::string(kRequestId) + " MISS - 0\r\n\r\n"); });
 }
 
 TEST(PlatformTest, RetriesElsewhereAfterErr) {
-  MovesOnAfter([](TcpPeer& c) { c.Send(std::string(kRef) + " ERR - 0\r\n\r\n"); });
+  ExpectRetryAfter([](TcpPeer& c) { c.Send(std::string(kRequestId) + " ERR - 0\r\n\r\n"); });
 }
 
 TEST(PlatformTest, RetriesElsewhereAfterVoid) {
-  MovesOnAfter([](TcpPeer& c) { c.Send(std::string(kRef) + " VOID - 0\r\n\r\n"); });
+  ExpectRetryAfter([](TcpPeer& c) { c.Send(std::string(kRequestId) + " VOID - 0\r\n\r\n"); });
 }
 
 TEST(PlatformTest, RetriesAfterHalfAResponse) {
-  MovesOnAfter(
+  ExpectRetryAfter(
       [](TcpPeer& c) {
-        c.Send(std::string(kRef) + " OK entity=e,issued=1 100\r\nhalf");
+        c.Send(std::string(kRequestId) + " OK entity=e,issued=1 100\r\nhalf");
         c.Reset();
       },
       true);
--- a/tests/net/program.hpp
+++ b/tests/net/program.hpp
@@ -1,4 +1,4 @@
-// The real program as a child process of a test, and the files that it reads.
+// Runs the real program as a child process of a test, with temporary files for its configuration.
 #pragma once
 
 #include <fcntl.h>
@@ -22,7 +22,7 @@
 #include "checks.hpp"
 #include "tcp.hpp"
 
-/// A file with a text, deleted with the object.
+/// A temporary file with the given text; the destructor deletes it.
 class TemporaryFile {
  public:
   explicit TemporaryFile(const std::string& text) {
@@ -39,12 +39,13 @@
   std::string path;
 };
 
-/// The program as a process, killed and waited for by the destructor. While it runs, its log is shown with
-/// failures.
+/// The program as a child process; the destructor kills and reaps it. While the object lives, the program's
+/// log is printed with every failure.
 class Program {
  public:
-  /// Starts it. `max_descriptors` is its RLIMIT_NOFILE, 0 leaves the test's. With `is_log_full` nothing that
-  /// it logs fits until the log is read: it stops in its first line.
+  /// Starts the program. `max_descriptors` is its RLIMIT_NOFILE; 0 inherits the limit of the test. With
+  /// `is_log_full` the pipe for its log is full from the start: the program blocks when it writes its first
+  /// log line, until the test reads the log.
   Program(std::vector<std::string> arguments, const std::map<std::string, std::string>& environment,
           rlim_t max_descriptors = 0, bool is_log_full = false) {
     std::array<int, 2> pipes{};
@@ -70,8 +71,8 @@
     ::close(output_);
   }
 
-  /// Reads the log through the first line that contains `mark` and returns that line. All that was read is in
-  /// `log`.
+  /// Reads the log up to and including the first line that contains `mark` and returns that line. Appends
+  /// every line to `log`. Throws CheckFailure if the log ends first or stays silent for kWaitLimitMs.
   std::string ReadLogThrough(std::string_view mark) {
     while (true) {
       const std::size_t end = pending_output_.find('\n');
@@ -86,26 +87,27 @@
     }
   }
 
-  /// The port that it serves at, once it has logged that it does.
+  /// Waits for the log line that names the listening port and returns the port.
   int Port() {
     const std::string line = ReadLogThrough("serving at ");
     return std::stoi(line.substr(line.rfind(':') + 1));
   }
 
-  /// Returns once the process has slept for 50 ms: one that has not served yet sleeps on its full log.
+  /// Returns once kAsleepChecks checks in a row, 10 ms apart (50 ms in all), have found the process asleep. A
+  /// program that was started with a full log then blocks in its first log line.
   void WaitUntilAsleep() const {
     const long long end = UnixMs() + kWaitLimitMs;
-    for (int looks_asleep = 0; looks_asleep < kLooksAsleep;) {
+    for (int asleep_count = 0; asleep_count < kAsleepChecks;) {
       CHECK_OR_THROW(UnixMs() < end);
-      looks_asleep = IsAsleep() ? looks_asleep + 1 : 0;
+      asleep_count = IsAsleep() ? asleep_count + 1 : 0;
       std::this_thread::sleep_for(std::chrono::milliseconds(10));
     }
   }
 
   void Signal(int number) const { ::kill(pid_, number); }
 
-  /// Reads the rest of the log and waits for the end; returns the exit status, or 128 and the signal as a
-  /// shell does.
+  /// Reads the rest of the log and waits until the process has ended. Returns its exit status, or 128 plus
+  /// the signal number as a shell does.
   int Wait() {
     while (ReadMore()) {
     }
@@ -118,13 +120,13 @@
 
   pid_t Pid() const { return pid_; }
 
-  /// The lines that were read.
+  /// The log lines that have been read.
   std::string log;
 
  private:
-  static constexpr int kLooksAsleep = 5;
+  static constexpr int kAsleepChecks = 5;
 
-  // Makes a pipe as small as it can be and fills it.
+  // Shrinks the pipe to its minimum size and fills it.
   static void Fill(int pipe) {
     constexpr int kPipeSize = 4096;
     const std::string block(kPipeSize, '\n');
@@ -132,7 +134,7 @@
     CHECK_OR_THROW(::write(pipe, block.data(), block.size()) == static_cast<ssize_t>(block.size()));
   }
 
-  // In the child: becomes the program, with its output in the pipe.
+  // Runs in the child after the fork: executes the program with its output redirected to the pipe.
   [[noreturn]] static void Execute(int pipe, std::vector<std::string>& arguments,
                                    const std::map<std::string, std::string>& environment,
                                    rlim_t max_descriptors) {
@@ -144,10 +146,10 @@
       ::setrlimit(RLIMIT_NOFILE, &limit);
     }
     for (const auto& [name, value] : environment) ::setenv(name.c_str(), value.c_str(), 1);
-    std::vector<char*> words{const_cast<char*>(TINSPAN_PROGRAM)};
-    for (std::string& argument : arguments) words.push_back(argument.data());
-    words.push_back(nullptr);
-    ::execv(TINSPAN_PROGRAM, words.data());
+    std::vector<char*> argument_pointers{const_cast<char*>(TINSPAN_PROGRAM)};
+    for (std::string& argument : arguments) argument_pointers.push_back(argument.data());
+    argument_pointers.push_back(nullptr);
+    ::execv(TINSPAN_PROGRAM, argument_pointers.data());
     ::_exit(127);
   }
 
@@ -158,7 +160,7 @@
     return stat.substr(stat.rfind(')') + 1).starts_with(" S");
   }
 
-  // Waits for output and keeps it; false at its end.
+  // Waits for output and appends it to pending_output_. Returns false at end of file.
   bool ReadMore() {
     CHECK_OR_THROW(IsReadyWithin(output_, POLLIN, kWaitLimitMs));
     std::array<char, 4096> block;
@@ -167,7 +169,7 @@
     return size > 0;
   }
 
-  // What is there without waiting.
+  // Returns the output that can be read without waiting.
   std::string ReadAvailable() const {
     std::array<char, 16384> block;
     const ssize_t size = IsReadyWithin(output_, POLLIN, 0) ? ::read(output_, block.data(), block.size()) : 0;
@@ -179,8 +181,8 @@
   std::string pending_output_;
 };
 
-/// Stops the program for as long as the object lives; what is sent meanwhile is there at once when it goes
-/// on.
+/// Stops the program (SIGSTOP) while the object lives. What is sent meanwhile waits in the program's sockets,
+/// so that the program finds all of it at once when it continues.
 class StoppedProgram {
  public:
   explicit StoppedProgram(Program& program) : program_(program) {
--- a/tests/net/system_faults_test.cpp
+++ b/tests/net/system_faults_test.cpp
@@ -1,5 +1,5 @@
-// The program while its machine's wall clock is set and its system calls fail, as Linux documents them. Each
-// case is what a client must still get.
+// The program while the machine's wall clock is set and while its system calls fail with errors that Linux
+// documents. Each case checks the responses that clients must still receive.
 #include <sys/epoll.h>
 
 #include "delayed_servers.hpp"
@@ -10,6 +10,7 @@
 using std::chrono::hours;
 using std::chrono::seconds;
 
+// A World whose instance runs with the fault shim.
 struct FaultyWorld : World {
   explicit FaultyWorld(const ProcessFaults& process_faults)
       : World(0, true, "1024", "192", kSettings, process_faults.Environment()), faults(process_faults) {}
@@ -19,19 +20,21 @@
 
 void SleepMs(int milliseconds) { std::this_thread::sleep_for(std::chrono::milliseconds(milliseconds)); }
 
-std::string Reference(int number) {
+// A request id made from a number.
+std::string RequestIdText(int number) {
   std::array<char, 17> text{};
   std::snprintf(text.data(), text.size(), "%016x", static_cast<unsigned>(number));
   return text.data();
 }
 
+// Sends requests 1 to `count`, each with its own id and object.
 void SendCalls(const TcpPeer& client, int count) {
   for (int number = 1; number <= count; ++number) {
-    client.Send(Call(std::to_string(number), "", 2500, Reference(number), Reference(number)));
+    client.Send(EncodeCall(std::to_string(number), "", 2500, RequestIdText(number), RequestIdText(number)));
   }
 }
 
-// Requests in flight keep their time when the wall clock is set forward or back while servers work.
+// Requests in flight keep their deadlines when the wall clock is set forward or back while the servers work.
 TEST(SystemFaultsTest, ServesWhatIsInFlightWhileTheWallClockIsSet) {
   for (const std::chrono::microseconds step :
        {std::chrono::microseconds(hours(1)), std::chrono::microseconds(hours(-1)),
@@ -44,14 +47,15 @@
     SendCalls(client, 8);
     SleepMs(200);
     faults.SetWallClockOffset(step);
-    for (int count = 0; count < 8; ++count) EXPECT_EQ(Answer(client)[1], "done");
-    // And what comes afterwards is served.
-    client.Send(Call("9", "", 2500, Reference(9), Reference(9)));
-    EXPECT_EQ(Answer(client)[1], "done");
+    for (int count = 0; count < 8; ++count) EXPECT_EQ(ReadResponse(client)[1], "done");
+    // Later requests are served as well.
+    client.Send(EncodeCall("9", "", 2500, RequestIdText(9), RequestIdText(9)));
+    EXPECT_EQ(ReadResponse(client)[1], "done");
   }
 }
 
-// Servers that hang: the final answer comes in the client's time, though the clock went back by an hour.
+// The servers hang: the final response comes within the client's timeout although the clock was set back by
+// an hour.
 TEST(SystemFaultsTest, AnswersInTimeAfterTheWallClockWentBack) {
   const ProcessFaults faults;
   FaultyWorld world(faults);
@@ -60,12 +64,12 @@
   const std::int64_t written_at = SteadyMs();
   SleepMs(200);
   faults.SetWallClockOffset(hours(-1));
-  for (int count = 0; count < 8; ++count) EXPECT_NE(Answer(client)[1], "done");
+  for (int count = 0; count < 8; ++count) EXPECT_NE(ReadResponse(client)[1], "done");
   EXPECT_LT(SteadyMs() - written_at, 2500);
 }
 
-// accept4 fails while clients wait in the backlog: they are served once the fault has passed, without another
-// client to bring a new edge.
+// accept4 fails while clients wait in the backlog. They must be served once the fault has passed, although
+// epoll is edge-triggered and no further client causes a new event.
 TEST(SystemFaultsTest, ServesTheBacklogAfterAcceptHasFailed) {
   for (const int error : {ENFILE, ENOBUFS, ENOMEM, EPROTO, ENETDOWN, EHOSTUNREACH, ECONNABORTED, EINTR}) {
     SCOPED_TRACE(std::strerror(error));
@@ -76,14 +80,15 @@
     for (int count = 0; count < 3; ++count) clients.push_back(world.Client());
     for (TcpPeer& client : clients) {
       client.Send(EncodeCommand({"RPC.HEALTH", "1", ""}));
-      ASSERT_TRUE(IsReadyWithin(client.Descriptor(), POLLIN, 1500)) << "a waiting client is not served";
-      EXPECT_EQ(Answer(client)[1], "healthy");
+      ASSERT_TRUE(IsReadyWithin(client.Descriptor(), POLLIN, 1500))
+          << "a client in the backlog is not served";
+      EXPECT_EQ(ReadResponse(client)[1], "healthy");
     }
   }
 }
 
-// socket and connect fail for 100 ms on this machine: the request is served all the same, however often its
-// server is tried meanwhile.
+// socket or connect fail locally for 100 ms: the requests are served nevertheless, however often the instance
+// attempts their server meanwhile.
 TEST(SystemFaultsTest, ServesAfterSocketAndConnectHaveFailed) {
   for (const FaultyCall call : {FaultyCall::kSocket, FaultyCall::kConnect}) {
     for (const int error : {ENFILE, ENOBUFS, ENOMEM, EADDRNOTAVAIL, ENETUNREACH}) {
@@ -96,12 +101,12 @@
       SendCalls(client, 4);
       SleepMs(100);
       faults.Fail(call, error, 0);
-      for (int count = 0; count < 4; ++count) EXPECT_EQ(Answer(client)[1], "done");
+      for (int count = 0; count < 4; ++count) EXPECT_EQ(ReadResponse(client)[1], "done");
     }
   }
 }
 
-// Waits are interrupted, reads and writes are short, registering fails for a moment.
+// epoll_wait is interrupted, reads and writes are interrupted, short or fail, and epoll_ctl fails briefly.
 TEST(SystemFaultsTest, ServesWhileCallsAreInterruptedOrShort) {
   struct Fault {
     FaultyCall call;
@@ -121,7 +126,7 @@
     TcpPeer client = world.Client();
     SendCalls(client, 4);
     const std::int64_t written_at = SteadyMs();
-    for (int count = 0; count < 4; ++count) EXPECT_EQ(Answer(client)[1], "done");
+    for (int count = 0; count < 4; ++count) EXPECT_EQ(ReadResponse(client)[1], "done");
     EXPECT_LT(SteadyMs() - written_at, 1500);
   }
 }
