--- a/tests/net/tcp.hpp
+++ b/tests/net/tcp.hpp
@@ -1,5 +1,5 @@
 // Blocking TCP connections and listeners on the loopback interface, for tests that play clients and servers.
-// Every wait has a generous limit; one that runs out throws CheckFailure.
+// A wait that exceeds kWaitLimitMs throws CheckFailure.
 #pragma once
 
 #include <arpa/inet.h>
@@ -20,7 +20,7 @@
 
 #include "checks.hpp"
 
-/// The longest wait for an event that must come, in milliseconds.
+/// The longest wait for an expected event, in milliseconds.
 constexpr int kWaitLimitMs = 20'000;
 
 /// Milliseconds since the Unix epoch.
@@ -38,16 +38,17 @@
   return address;
 }
 
-/// Whether `events` come up on the descriptor within so many milliseconds.
+/// Whether one of the poll `events` occurs on the descriptor within `milliseconds`.
 inline bool IsReadyWithin(int fd, short events, int milliseconds) {
   pollfd entry{fd, events, 0};
   return ::poll(&entry, 1, milliseconds) == 1;
 }
 
-/// One end of a TCP connection, which it owns. Bytes that were received past what was asked for are kept.
+/// One end of a TCP connection; owns the descriptor. Bytes received beyond the requested ones are buffered
+/// for the next read.
 class TcpPeer {
  public:
-  /// Takes the descriptor over; -1 is no connection.
+  /// Takes ownership of the descriptor; -1 means no connection.
   explicit TcpPeer(int fd = -1) : fd_(fd) {}
   TcpPeer(const TcpPeer&) = delete;
   TcpPeer& operator=(const TcpPeer&) = delete;
@@ -62,7 +63,7 @@
   }
   ~TcpPeer() { Close(); }
 
-  /// A connection to a loopback port.
+  /// Connects to a loopback port.
   static TcpPeer Connect(int port) {
     TcpPeer peer(::socket(AF_INET, SOCK_STREAM, 0));
     const sockaddr_in address = LoopbackAddress(port);
@@ -79,8 +80,8 @@
     }
   }
 
-  /// Sends up to `max_bytes` of `block` over and over, until for 300 ms nothing more is taken; returns how
-  /// many bytes.
+  /// Sends `block` repeatedly, up to `max_bytes` in all, until the socket accepts nothing for 300 ms. Returns
+  /// the number of bytes sent.
   std::size_t SendUntilBlocked(std::string_view block, std::size_t max_bytes) const {
     std::size_t total = 0;
     while (total < max_bytes && IsReadyWithin(fd_, POLLOUT, kBlockedAfterMs)) {
@@ -92,7 +93,7 @@
     return total;
   }
 
-  /// Reads through the first `mark`; returns what came before it.
+  /// Reads up to and including the first `mark`; returns the text before it.
   std::string ReadUntil(std::string_view mark) {
     std::size_t position = received_.find(mark);
     while (position == std::string::npos) {
@@ -104,7 +105,7 @@
     return text;
   }
 
-  /// Reads so many bytes.
+  /// Reads `size` bytes.
   std::string ReadExactly(std::size_t size) {
     while (received_.size() < size) CHECK_OR_THROW(ReceiveMore());
     std::string text = received_.substr(0, size);
@@ -119,7 +120,8 @@
     return std::exchange(received_, {});
   }
 
-  /// Reads until `mark` has come and returns all that came with it; empty if the connection ends before.
+  /// Reads until `mark` has been received and returns everything received so far; "" if the connection ends
+  /// before.
   std::string ReadUntilOrEmpty(std::string_view mark) {
     while (received_.find(mark) == std::string::npos) {
       if (!ReceiveMore()) return {};
@@ -127,8 +129,7 @@
     return std::exchange(received_, {});
   }
 
-  /// Reads `total` bytes no faster than `bytes_per_s`, in reads of at most 16 KB, as a client on a slow link
-  /// does.
+  /// Reads `total` bytes at `bytes_per_s` at most, in reads of at most 16 KB, like a client on a slow link.
   std::string ReadPaced(std::size_t total, double bytes_per_s) {
     const auto start = std::chrono::steady_clock::now();
     std::size_t taken = 0;
@@ -146,7 +147,7 @@
     return std::exchange(received_, {});
   }
 
-  /// Reads all that comes within so many milliseconds; the connection stays open.
+  /// Reads for `milliseconds`, or until the connection ends; does not close it.
   std::string ReadFor(int milliseconds) {
     const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(milliseconds);
     while (true) {
@@ -159,14 +160,14 @@
     return std::exchange(received_, {});
   }
 
-  /// Whether nothing comes within so many milliseconds, not even the connection's end. Only for proving
-  /// silence.
+  /// Whether nothing is received within `milliseconds`, not even the end of the connection. Meant to check
+  /// that the other end stays silent, not to wait for an event.
   bool IsSilentFor(int milliseconds) const {
     pollfd entry{fd_, POLLIN, 0};
     return received_.empty() && ::poll(&entry, 1, milliseconds) == 0;
   }
 
-  /// Ends the connection with RST, as a process that dies with unread input does.
+  /// Closes the connection with RST, like a process that dies with unread input.
   void Reset() {
     const linger now{1, 0};
     ::setsockopt(fd_, SOL_SOCKET, SO_LINGER, &now, sizeof now);
@@ -183,7 +184,7 @@
  private:
   static constexpr int kBlockedAfterMs = 300;
 
-  // Waits for input and takes it; false at the connection's end.
+  // Waits for input and buffers it. Returns false at the end of the connection.
   bool ReceiveMore() {
     CHECK_OR_THROW(IsReadyWithin(fd_, POLLIN, kWaitLimitMs));
     return Receive();
@@ -199,7 +200,7 @@
   std::string received_;
 };
 
-/// A listening socket at a loopback port that the system chooses.
+/// A listening socket on a loopback port chosen by the system.
 class TcpListener {
  public:
   TcpListener() : fd_(::socket(AF_INET, SOCK_STREAM, 0)) {
@@ -220,7 +221,7 @@
     return TcpPeer(::accept(fd_, nullptr, nullptr));
   }
 
-  /// Whether no connection comes within so many milliseconds.
+  /// Whether no connection arrives within `milliseconds`.
   bool HasNoConnectionFor(int milliseconds) const {
     pollfd entry{fd_, POLLIN, 0};
     return ::poll(&entry, 1, milliseconds) == 0;
