--- a/tests/soak/checker.py
+++ b/tests/soak/checker.py
@@ -1,27 +1,28 @@
-"""Holds a history against the operators' rules. It reads only what clients, servers and operators saw."""
+"""Checks a history against the operators' rules, using only what clients, servers and operators observed."""
 from collections import defaultdict
 from dataclasses import dataclass
 
 from history import History, Process, Request
 
-SLACK = 0.05  # of every time limit (PROTOCOL)
-CROSSING = 0.05  # a request so close to the end of its connection is sent again
-LATE_ANSWER = 0.5  # after its time: worth nothing, not lost (STANDING)
-DRAIN_GRACE = 0.5
-PURGE_GRACE = 1.0
-TOLD_AT_LATEST = 7.0  # after it was written to the change log
-CLIENT_GONE = 0.1
-BUDGET_SLACK = 0.15
-ADMIN_LIMIT = 1.0
-STANDBY_LOOK = 4.0
-STANDBY_RECENT = 2.0
-ACTIVE_LIMIT = 2.0
-READY_LIMIT = 10.0
-NEVER_RAN = {"BUSY", "MISS", "VOID"}
+TIMING_SLACK_S = 0.05  # added to every time limit (PROTOCOL)
+CLOSE_RACE_S = 0.05  # a client resends a request written this short before its connection ended
+LATE_RESPONSE_GRACE_S = 0.5  # after its deadline: the response has no value but is not lost (STANDING)
+DRAIN_GRACE_S = 0.5
+PURGE_GRACE_S = 1.0
+MAX_PROPAGATION_S = 7.0  # for an event to reach every instance after it was published
+CLIENT_GONE_LIMIT_S = 0.1  # for attempts after the client cancelled or disconnected
+BUDGET_SLACK_S = 0.15
+ADMIN_LIMIT_S = 1.0
+STANDBY_CHECK_DELAY_S = 4.0  # after the call; no idle connection is open then
+STANDBY_RECENT_S = 2.0  # no open request is younger than this at that time
+ACTIVE_LIMIT_S = 2.0  # after the call, to report ready
+READY_LIMIT_S = 10.0
+NOT_EXECUTED = {"BUSY", "MISS", "VOID"}  # responses of a server that did not execute the request
 
 
 @dataclass
 class Violation:
+    """A broken rule, with the reference of the request concerned if there is one."""
     rule: str
     text: str
     reference: str | None = None
@@ -40,9 +41,9 @@
 
     def check(self) -> list[Violation]:
         for request in self.history.requests:
-            self.check_answer(request)
+            self.check_response(request)
             self.check_effect(request)
-            self.check_client_gone(request)
+            self.check_abandoned(request)
             self.check_budget(request)
             self.check_purges(request)
         self.check_drains()
@@ -52,15 +53,22 @@
         return self.violations
 
     def slack(self, start, end=None) -> float:
-        """Of a time limit: the page's, and how late the soak's own loop ran at about that time."""
+        """Returns the tolerance of a time limit.
+
+        It is the page's tolerance plus the largest delay of the soak's own event loop around that time.
+        """
         end = start if end is None else end
-        return SLACK + max((lag for at, lag in self.history.lags if start - 1.0 <= at <= end + 1.0), default=0.0)
+        return TIMING_SLACK_S + max((lag for at, lag in self.history.lags if start - 1.0 <= at <= end + 1.0),
+                                    default=0.0)
 
-    def found(self, rule, text, reference=None):
+    def add_violation(self, rule, text, reference=None):
         self.violations.append(Violation(rule, text, reference))
 
     def processes_of(self, request: Request) -> list[Process]:
-        """Those that may have taken its connection: during an upgrade there are two at one address."""
+        """Returns the processes that may have accepted its connection.
+
+        During an upgrade, two processes share one address.
+        """
         opened_at = self.history.connections[request.connection].opened_at
         return [one for one in self.history.processes.values()
                 if one.instance == request.instance and one.started_at <= opened_at
@@ -69,44 +77,52 @@
     def paused(self, request: Request, start: float, end: float) -> float:
         return max((one.paused(start, end) for one in self.processes_of(request)), default=0.0)
 
-    # ---- One final answer, in time. ----
+    # ---- One final response, in time. ----
 
-    def check_answer(self, request: Request):
-        if len(request.answers) > 1:
-            self.found("one answer", f"{len(request.answers)} answers", request.reference)
-        for _, status, _, is_body_right in request.answers[:1]:
+    def check_response(self, request: Request):
+        if len(request.responses) > 1:
+            self.add_violation("one answer", f"{len(request.responses)} responses", request.reference)
+        for _, status, _, is_body_right in request.responses[:1]:
             if status == "done" and not is_body_right:
-                self.found("bytes", "served other bytes than its servers made", request.reference)
+                self.add_violation("bytes", "the response body differs from what the servers sent",
+                                   request.reference)
         connection = self.history.connections[request.connection]
-        limit = request.written_at + request.allow + LATE_ANSWER
+        limit = request.written_at + request.timeout + LATE_RESPONSE_GRACE_S
         limit += self.slack(request.written_at, limit)
         limit += self.paused(request, request.written_at, limit)
-        if request.answers:
-            if request.answers[0][0] > limit and request.cancelled_at is None:
-                late = request.answers[0][0] - request.written_at
-                self.found("lost", f"answered after {late:.3f} s, {request.allow:.3f} s allowed", request.reference)
+        if request.responses:
+            if request.responses[0][0] > limit and request.cancelled_at is None:
+                late = request.responses[0][0] - request.written_at
+                self.add_violation("lost", f"answered after {late:.3f} s, {request.timeout:.3f} s allowed",
+                                   request.reference)
             return
         if request.cancelled_at is not None or connection.client_closed_at is not None:
-            gone_at = min(at for at in (request.cancelled_at, connection.client_closed_at) if at is not None)
-            if gone_at <= limit:
+            abandoned_at = min(at for at in (request.cancelled_at, connection.client_closed_at)
+                               if at is not None)
+            if abandoned_at <= limit:
                 return
         killed = [one for one in self.processes_of(request) if one.killed_at is not None and one.killed_at <= limit]
-        if any(not self.is_owed_before_kill(request, one) for one in killed):
+        if any(not self.had_time_to_respond_before_kill(request, one) for one in killed):
             return
-        if connection.ended_at is not None and connection.ended_at - request.written_at <= CROSSING + self.slack(
-                request.written_at):
+        if (connection.instance_closed_at is not None and
+                connection.instance_closed_at - request.written_at <=
+                CLOSE_RACE_S + self.slack(request.written_at)):
             return
         if limit > self.history.ended_at:
             return
-        self.found("lost", "no answer" + (
-            f", its connection ended {connection.ended_at - request.written_at:.3f} s after it was written"
-            if connection.ended_at is not None else ""), request.reference)
+        self.add_violation("lost", "no response" + (
+            f", its connection ended {connection.instance_closed_at - request.written_at:.3f} s "
+            f"after the request was written"
+            if connection.instance_closed_at is not None else ""), request.reference)
 
-    def is_owed_before_kill(self, request: Request, process: Process) -> bool:
-        """SIGKILL excuses what it cuts off; after SIGTERM only what crossed the end of its connection."""
-        if process.told_to_stop_at is None or process.told_to_stop_at > process.killed_at:
+    def had_time_to_respond_before_kill(self, request: Request, process: Process) -> bool:
+        """Returns whether the process had to respond before it was killed.
+
+        SIGKILL alone excuses all open requests; after SIGTERM, only those written just before the kill.
+        """
+        if process.sigterm_at is None or process.sigterm_at > process.killed_at:
             return False
-        return process.killed_at - request.written_at > CROSSING + self.slack(request.written_at)
+        return process.killed_at - request.written_at > CLOSE_RACE_S + self.slack(request.written_at)
 
     # ---- Attempts. ----
 
@@ -115,51 +131,63 @@
         for earlier, later in zip(attempts, attempts[1:]):
             if earlier.ended_at is None or earlier.ended_at > later.arrived_at + self.slack(
                     later.arrived_at):
-                self.found("two attempts", f"at {earlier.server} and {later.server} at once", request.reference)
-        may_have_run = [one for one in attempts if one.outcome not in NEVER_RAN]
+                self.add_violation("two attempts", f"attempts at {earlier.server} and {later.server} overlap",
+                                   request.reference)
+        may_have_run = [one for one in attempts if one.outcome not in NOT_EXECUTED]
         if request.effect == "once" and len(may_have_run) > 0:
             if attempts[-1] is not may_have_run[0]:
-                self.found("effect", "sent again after an attempt that may have run", request.reference)
+                self.add_violation("effect", "retried after an attempt that may have run", request.reference)
         if request.effect == "by_key" and may_have_run:
             first = may_have_run[0].arrived_at
-            if any(one.arrived_at > first + request.window + self.slack(one.arrived_at) for one in attempts):
-                self.found("effect", "sent again after the window of its key", request.reference)
-        rejected_at = next((at for at, status, _, _ in request.answers if status == "later"), None)
+            if any(one.arrived_at > first + request.key_window + self.slack(one.arrived_at)
+                   for one in attempts):
+                self.add_violation("effect", "retried after its idempotency key had expired",
+                                   request.reference)
+        rejected_at = next((at for at, status, _, _ in request.responses if status == "later"), None)
         if rejected_at is not None and request.effect == "once":
             if any(one.arrived_at <= rejected_at for one in may_have_run):
-                self.found("effect", "rejected, though it may have run", request.reference)
-        if request.answers and any(one.arrived_at > request.answers[0][0] + self.slack(one.arrived_at) for one in attempts):
-            self.found("after the answer", "sent to a server after its final answer", request.reference)
+                self.add_violation("effect", "rejected, though it may have run", request.reference)
+        if request.responses and any(one.arrived_at > request.responses[0][0] + self.slack(one.arrived_at)
+                                     for one in attempts):
+            self.add_violation("after the answer", "sent to a server after its final response",
+                               request.reference)
 
-    def check_client_gone(self, request: Request):
+    def check_abandoned(self, request: Request):
         connection = self.history.connections[request.connection]
-        for gone_at in (request.cancelled_at, connection.client_closed_at):
-            if gone_at is None:
+        for abandoned_at in (request.cancelled_at, connection.client_closed_at):
+            if abandoned_at is None:
                 continue
             for attempt in self.attempts[request.reference]:
-                allowed = gone_at + CLIENT_GONE + self.slack(attempt.arrived_at) + self.paused(request, gone_at, attempt.arrived_at)
+                allowed = (abandoned_at + CLIENT_GONE_LIMIT_S + self.slack(attempt.arrived_at) +
+                           self.paused(request, abandoned_at, attempt.arrived_at))
                 if attempt.arrived_at > allowed:
-                    late = attempt.arrived_at - gone_at
-                    self.found("client gone", f"sent {late:.3f} s after its client had gone", request.reference)
+                    late = attempt.arrived_at - abandoned_at
+                    self.add_violation("client gone",
+                                       f"sent {late:.3f} s after its client cancelled or disconnected",
+                                       request.reference)
 
     def check_budget(self, request: Request):
         for attempt in self.attempts[request.reference]:
-            left = request.written_at + request.allow - attempt.arrived_at
-            if attempt.budget is not None and attempt.budget > max(left, 0) + BUDGET_SLACK + self.slack(
+            left = request.written_at + request.timeout - attempt.arrived_at
+            if attempt.budget is not None and attempt.budget > max(left, 0) + BUDGET_SLACK_S + self.slack(
                     attempt.arrived_at):
                 if self.paused(request, request.written_at, attempt.arrived_at) > 0:
                     continue
-                self.found("budget", f"{attempt.budget:.3f} s told, {left:.3f} s left", request.reference)
+                self.add_violation("budget", f"budget of {attempt.budget:.3f} s sent, {left:.3f} s left",
+                                   request.reference)
 
-    def told_by(self, event, instance, sent_at) -> float:
-        """From when the process that sent it counts as told: one that came later was told at its start."""
-        told_at = min(event.received_at.get(instance, float("inf")), event.told_at + TOLD_AT_LATEST)
+    def known_since(self, event, instance, sent_at) -> float:
+        """Returns from when the sending process had to know of a purge or drain.
+
+        That is when the event reached the instance; a process that started later knows it from the start.
+        """
+        known_at = min(event.received_at.get(instance, float("inf")), event.announced_at + MAX_PROPAGATION_S)
         starts = [one.ready_at or one.started_at for one in self.history.processes.values()
                   if one.instance == instance and one.started_at <= sent_at]
-        return max([told_at, *starts])
+        return max([known_at, *starts])
 
     def check_purges(self, request: Request):
-        for at, status, issued, _ in request.answers[:1]:
+        for at, status, issued, _ in request.responses[:1]:
             sent_at = max((one.arrived_at for one in self.attempts[request.reference] if one.arrived_at <= at),
                           default=None)
             if status != "done" or issued is None or sent_at is None:
@@ -167,110 +195,132 @@
             for purge in self.history.purges:
                 if purge.object_id != request.object_id or issued >= purge.time:
                     continue
-                if sent_at > self.told_by(purge, request.instance, sent_at) + PURGE_GRACE + self.slack(sent_at):
-                    self.found("purge", f"served a copy issued {(purge.time - issued) / 1000:.3f} s before its purge",
-                               request.reference)
+                if sent_at > self.known_since(purge, request.instance,
+                                              sent_at) + PURGE_GRACE_S + self.slack(sent_at):
+                    self.add_violation("purge",
+                                       f"served a copy issued {(purge.time - issued) / 1000:.3f} s "
+                                       "before its purge",
+                                       request.reference)
 
     def check_drains(self):
         for drain in self.history.drains:
             for attempt in self.history.attempts:
-                if drain.server not in (attempt.server, attempt.source) or attempt.arrived_at > drain.until:
+                if drain.server not in (attempt.server,
+                                        attempt.source) or attempt.arrived_at > drain.up_again_at:
                     continue
-                told_at = self.told_by(drain, attempt.instance, attempt.arrived_at)
-                paused = max((one.paused(told_at, attempt.arrived_at) for one in self.history.processes.values()
+                known_at = self.known_since(drain, attempt.instance, attempt.arrived_at)
+                paused = max((one.paused(known_at, attempt.arrived_at)
+                              for one in self.history.processes.values()
                               if one.instance == attempt.instance), default=0.0)
-                if attempt.arrived_at > told_at + DRAIN_GRACE + self.slack(attempt.arrived_at) + paused:
-                    self.found("drain", f"sent to {drain.server} {attempt.arrived_at - told_at:.3f} s after "
-                               f"{attempt.instance} was told of its drain", attempt.reference)
+                if attempt.arrived_at > known_at + DRAIN_GRACE_S + self.slack(attempt.arrived_at) + paused:
+                    self.add_violation("drain",
+                                       f"sent to {drain.server} {attempt.arrived_at - known_at:.3f} s after "
+                                       f"{attempt.instance} was notified of its drain", attempt.reference)
 
     # ---- Operators. ----
 
     def check_standby(self):
         for standby in self.history.standbys:
-            look_at = standby.called_at + STANDBY_LOOK
-            if standby.until < look_at or self.history.ended_at < look_at:
+            checked_at = standby.called_at + STANDBY_CHECK_DELAY_S
+            if standby.next_call_at < checked_at or self.history.ended_at < checked_at:
                 continue
-            if self.was_disturbed(standby.instance, standby.called_at, look_at):
+            if self.had_process_event(standby.instance, standby.called_at, checked_at):
                 continue
             for connection in self.history.connections.values():
                 if connection.instance == standby.instance:
-                    self.check_held(connection, look_at)
-        for status in self.history.statuses:
+                    self.check_connection_in_standby(connection, checked_at)
+        for call in self.history.admin_calls:
             for standby in self.history.standbys:
-                if status.call != "status" or status.instance != standby.instance or status.text is None:
+                if call.command != "status" or call.instance != standby.instance or call.text is None:
                     continue
-                is_within = standby.called_at + SLACK < status.asked_at < standby.until - SLACK
-                if is_within and status.text.startswith("done") and not self.was_disturbed(
-                        standby.instance, standby.called_at, status.asked_at):
-                    self.found("standby", f"{status.instance} says yes during standby")
-                if standby.next_call != "active" or not status.text.startswith("error"):
+                is_within = (standby.called_at + TIMING_SLACK_S < call.asked_at <
+                             standby.next_call_at - TIMING_SLACK_S)
+                if is_within and call.text.startswith("done") and not self.had_process_event(
+                        standby.instance, standby.called_at, call.asked_at):
+                    self.add_violation("standby", f"{call.instance} reports ready during standby")
+                if standby.next_call != "active" or not call.text.startswith("error"):
                     continue
-                since = status.asked_at - standby.until
+                since = call.asked_at - standby.next_call_at
                 next_call = min((one.called_at for one in self.history.standbys
-                                 if one.instance == status.instance and one.called_at > standby.until),
+                                 if one.instance == call.instance and one.called_at > standby.next_call_at),
                                 default=self.history.ended_at)
-                if ACTIVE_LIMIT < since < ACTIVE_LIMIT + 1 and status.asked_at < next_call and not self.was_disturbed(
-                        status.instance, standby.until, status.asked_at):
-                    self.found("standby", f"{status.instance} says no {since:.1f} s after active")
+                if (ACTIVE_LIMIT_S < since < ACTIVE_LIMIT_S + 1 and call.asked_at < next_call and
+                        not self.had_process_event(call.instance, standby.next_call_at, call.asked_at)):
+                    self.add_violation("standby",
+                                       f"{call.instance} reports not ready {since:.1f} s after active")
 
-    def check_held(self, connection, look_at):
-        ended_at = min(at for at in (connection.client_closed_at, connection.ended_at, float("inf")) if at is not None)
-        if not connection.opened_at < look_at - 0.5 or ended_at <= look_at:
+    def check_connection_in_standby(self, connection, checked_at):
+        """Checks a connection at the time by which a standby instance has closed idle ones."""
+        ended_at = min(at for at in (connection.client_closed_at, connection.instance_closed_at, float("inf"))
+                       if at is not None)
+        if not connection.opened_at < checked_at - 0.5 or ended_at <= checked_at:
             return
         requests = [one for one in self.history.requests if one.connection == connection.number]
-        carried = [one for one in requests if one.written_at <= look_at and
-                   (not one.answers or one.answers[0][0] > look_at) and one.cancelled_at is None]
-        if not carried:
-            self.found("standby", f"connection {connection.number} of {connection.instance} held idle at 4 s")
-        for one in carried:
-            if one.written_at > look_at - STANDBY_RECENT:
-                self.found("standby", f"connection {connection.number} carries a request of the last 2 s at 4 s",
-                           one.reference)
-
-    def was_disturbed(self, instance, start, end) -> bool:
-        """Whether a process of the instance started, stopped, or was paused meanwhile."""
+        in_flight = [one for one in requests if one.written_at <= checked_at and
+                     (not one.responses or one.responses[0][0] > checked_at) and one.cancelled_at is None]
+        if not in_flight:
+            self.add_violation("standby",
+                               f"connection {connection.number} of {connection.instance} is open without "
+                               "a request 4 s after standby")
+        for one in in_flight:
+            if one.written_at > checked_at - STANDBY_RECENT_S:
+                self.add_violation("standby",
+                                   f"connection {connection.number} has a request of the last 2 s open "
+                                   "4 s after standby", one.reference)
+
+    def had_process_event(self, instance, start, end) -> bool:
+        """Returns whether a process of the instance started, ended, was signalled or was paused.
+
+        Considers the time from 0.5 s before start to end; pauses only from start.
+        """
         for process in self.history.processes.values():
             if process.instance != instance:
                 continue
-            marks = (process.started_at, process.told_to_stop_at, process.killed_at, process.ended_at)
-            if any(at is not None and start - 0.5 <= at <= end for at in marks) or process.paused(start, end) > 0:
+            event_times = (process.started_at, process.sigterm_at, process.killed_at, process.ended_at)
+            if (any(at is not None and start - 0.5 <= at <= end for at in event_times) or
+                    process.paused(start, end) > 0):
                 return True
         return False
 
     def check_admin(self):
-        for status in self.history.statuses:
-            if status.answered_at is not None and status.answered_at - status.asked_at <= ADMIN_LIMIT + self.slack(
-                    status.asked_at, status.answered_at):
+        for call in self.history.admin_calls:
+            if (call.answered_at is not None and call.answered_at - call.asked_at <=
+                    ADMIN_LIMIT_S + self.slack(call.asked_at, call.answered_at)):
                 continue
-            if not self.was_disturbed(status.instance, status.asked_at, status.asked_at + ADMIN_LIMIT):
-                self.found("admin", f"{status.instance}: {status.call} not answered within a second")
+            if not self.had_process_event(call.instance, call.asked_at, call.asked_at + ADMIN_LIMIT_S):
+                self.add_violation("admin", f"{call.instance}: {call.command} not answered within 1 s")
 
     def check_processes(self):
         for process in self.history.processes.values():
-            ready_by = process.started_at + READY_LIMIT
+            ready_by = process.started_at + READY_LIMIT_S
             if process.ready_at is None or process.ready_at > ready_by + process.paused(process.started_at, ready_by):
-                cut_short = min(at for at in (process.killed_at, process.told_to_stop_at, self.history.ended_at)
-                                if at is not None)
-                if cut_short > ready_by:
-                    self.found("ready", f"process {process.number} of {process.instance} was not ready in 10 s")
+                stopped_at = min(at for at in (process.killed_at, process.sigterm_at, self.history.ended_at)
+                                 if at is not None)
+                if stopped_at > ready_by:
+                    self.add_violation("ready",
+                                       f"process {process.number} of {process.instance} "
+                                       "was not ready in 10 s")
             if process.ended_at is None or process.killed_at is not None and process.ended_at >= process.killed_at:
                 continue
-            if process.told_to_stop_at is None or process.exit_status != 0:
-                self.found("crash", f"process {process.number} of {process.instance} ended with {process.exit_status}")
+            if process.sigterm_at is None or process.exit_status != 0:
+                self.add_violation("crash",
+                                   f"process {process.number} of {process.instance} "
+                                   f"ended with {process.exit_status}")
 
 
-def story(history: History, reference: str) -> list[str]:
-    """All that was seen of a request, in one timeline with the faults beside it."""
+def request_timeline(history: History, reference: str) -> list[str]:
+    """Returns everything observed about a request, and the faults around it, ordered by time."""
     request = next(one for one in history.requests if one.reference == reference)
     lines = [(request.written_at, f"client: written to {request.instance}, {request.class_name} "
-              f"({request.effect}), {request.allow:.3f} s allowed")]
+              f"({request.effect}), {request.timeout:.3f} s allowed")]
     connection = history.connections[request.connection]
     lines.append((connection.opened_at, f"client: connection {connection.number} opened"))
-    for at, text in ((connection.client_closed_at, "closed by its client"), (connection.ended_at, "ended by the instance"),
+    for at, text in ((connection.client_closed_at, "closed by its client"),
+                     (connection.instance_closed_at, "closed by the instance"),
                      (request.cancelled_at, "request cancelled")):
         if at is not None:
             lines.append((at, f"client: connection {connection.number}: {text}"))
-    lines += [(at, f"client: answer {status}") for at, status, _, _ in request.answers]
+    lines += [(at, f"client: answer {status}") for at, status, _, _ in request.responses]
     for attempt in history.attempts:
         if attempt.reference == reference:
             lines.append((attempt.arrived_at, f"server {attempt.server}: request, source {attempt.source}, "
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,4 +1,7 @@
-"""Clients of an instance over RESP: closed and open loops, slow readers, writers in pieces, cancels, sudden ends."""
+"""Clients that send requests to an instance over RESP.
+
+They run as closed or open loops; some read slowly, split their writes, cancel requests or disconnect early.
+"""
 import asyncio
 import random
 import socket
@@ -6,28 +9,31 @@
 from dataclasses import dataclass
 
 from history import Connection, History, Request
-from servers import body_of
+from servers import make_body
 
-MAX_WAIT = 0.05
+MAX_WAIT_S = 0.05  # between checks of whether the next request can be written
 
 
 @dataclass
 class Behaviour:
-    depth: int = 1  # requests in flight on one connection
-    rate: float = 0.0  # requests a second, whatever comes back; 0: the next one follows an answer
-    reads_bytes_per_s: int = 0  # 0: as fast as they come
-    writes_in_pieces: bool = False
-    cancels: float = 0.0  # chance for each request
-    leaves: float = 0.0  # chance to close in the middle of things, for each request
-    heeds_cooldown: bool = True
+    """How a client sends requests and reads responses."""
+    max_in_flight: int = 1  # requests in flight on the connection
+    requests_per_s: float = 0.0  # open loop; 0: closed loop, the next request follows a response
+    read_bytes_per_s: int = 0  # 0: unlimited
+    splits_writes: bool = False
+    cancel_chance: float = 0.0  # per request
+    disconnect_chance: float = 0.0  # per request: closes the connection with requests in flight
+    honours_cooldown: bool = True  # waits as long as a rejection asks
 
 
 def encode(words) -> bytes:
+    """Encodes words as a RESP array of bulk strings."""
     parts = [word if isinstance(word, bytes) else word.encode() for word in words]
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts)
 
 
-async def read_answer(reader) -> list[bytes]:
+async def read_response(reader) -> list[bytes]:
+    """Reads one RESP array of bulk strings; raises IncompleteReadError at the end of the connection."""
     count = int((await reader.readuntil(b"\r\n"))[1:])
     words = []
     for _ in range(count):
@@ -37,7 +43,7 @@
 
 
 class Client:
-    """One client with one connection at a time, to an instance that `choose` names."""
+    """A client with one connection at a time, to an instance that World.choose_instance() returns."""
 
     def __init__(self, number: int, world, behaviour: Behaviour):
         self.world = world
@@ -47,11 +53,11 @@
         self.number = number
         self.requests_made = 0
         self.cooldown_until = 0.0
-        self.changed = asyncio.Event()  # an answer has come, or the connection has ended
+        self.progress = asyncio.Event()  # set when a response arrives or the connection ends
 
     async def run(self):
-        while not self.world.is_over:
-            instance = self.world.choose(self.random)
+        while not self.world.has_ended:
+            instance = self.world.choose_instance(self.random)
             if instance is None or time.monotonic() < self.cooldown_until:
                 await asyncio.sleep(0.05)
                 continue
@@ -61,13 +67,13 @@
                 await asyncio.sleep(0.05 + 0.1 * self.random.random())
 
     async def use_connection(self, instance):
-        limit = 4096 if self.behaviour.reads_bytes_per_s else 2 ** 18
+        limit = 4096 if self.behaviour.read_bytes_per_s else 2 ** 18
         reader, writer = await asyncio.open_connection(*self.world.address(instance), limit=limit)
         writer.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         connection = Connection(self.world.next_connection(), instance, time.monotonic())
         self.history.connections[connection.number] = connection
         open_requests: dict[bytes, Request] = {}
-        self.tag = 0
+        self.last_tag = 0
         reading = asyncio.ensure_future(self.read(reader, connection, open_requests))
         try:
             await self.write(writer, connection, open_requests, reading)
@@ -79,52 +85,53 @@
 
     async def write(self, writer, connection, open_requests, reading):
         next_at = time.monotonic()
-        while not self.world.is_over and not reading.done():
+        while not self.world.has_ended and not reading.done():
             if time.monotonic() < self.cooldown_until and not open_requests:
                 return
             now = time.monotonic()
-            can_write = len(open_requests) < (32 if self.behaviour.rate else self.behaviour.depth)
-            wait = max(self.cooldown_until, next_at) - now if can_write else MAX_WAIT
+            can_write = len(open_requests) < (32 if self.behaviour.requests_per_s
+                                              else self.behaviour.max_in_flight)
+            wait = max(self.cooldown_until, next_at) - now if can_write else MAX_WAIT_S
             if wait > 0:
-                await self.wait_for_change(min(wait, MAX_WAIT))
+                await self.wait_for_progress(min(wait, MAX_WAIT_S))
                 continue
-            if self.behaviour.rate:
-                next_at += self.random.expovariate(self.behaviour.rate)
+            if self.behaviour.requests_per_s:
+                next_at += self.random.expovariate(self.behaviour.requests_per_s)
             await self.write_request(writer, connection, open_requests)
-            if self.random.random() < self.behaviour.leaves:
+            if self.random.random() < self.behaviour.disconnect_chance:
                 return
 
-    async def wait_for_change(self, limit):
-        self.changed.clear()
+    async def wait_for_progress(self, limit):
+        self.progress.clear()
         try:
-            await asyncio.wait_for(self.changed.wait(), limit)
+            await asyncio.wait_for(self.progress.wait(), limit)
         except asyncio.TimeoutError:
             pass
 
     async def write_request(self, writer, connection, open_requests):
         name, effect, window, deadline = self.random.choice(self.world.classes)
-        self.tag += 1
+        self.last_tag += 1
         self.requests_made += 1
-        tag = str(self.tag).encode()
+        tag = str(self.last_tag).encode()
         reference = f"{self.world.seed & 0xffff:04x}{self.number:04x}{self.requests_made:08x}"
         object_id = f"{1 + int(self.random.paretovariate(0.7)) % 400:016x}"
-        allow = deadline * self.random.uniform(0.4, 1.0)
-        fields = f"ref={reference},allow={int(allow * 1000)},lookup={object_id},block=0,family=7,room=10"
+        timeout = deadline * self.random.uniform(0.4, 1.0)
+        fields = f"ref={reference},allow={int(timeout * 1000)},lookup={object_id},block=0,family=7,room=10"
         if effect == "by_key":
             fields += f",replay={self.random.getrandbits(128):032x}"
         body = b"x" * self.random.randrange(200) if effect != "repeatable" else b""
         message = encode(["RPC.CALL", tag, name, fields, body])
-        if self.behaviour.writes_in_pieces:
+        if self.behaviour.splits_writes:
             middle = self.random.randrange(1, len(message))
             writer.write(message[:middle])
             await asyncio.sleep(0.02)
             message = message[middle:]
-        request = Request(reference, connection.instance, connection.number, name, effect, window, int(allow * 1000) / 1000,
-                          object_id, time.monotonic())
+        request = Request(reference, connection.instance, connection.number, name, effect, window,
+                          int(timeout * 1000) / 1000, object_id, time.monotonic())
         self.history.requests.append(request)
         open_requests[tag] = request
         writer.write(message)
-        if self.random.random() < self.behaviour.cancels:
+        if self.random.random() < self.behaviour.cancel_chance:
             asyncio.ensure_future(self.cancel(writer, tag, request, open_requests))
 
     async def cancel(self, writer, tag, request, open_requests):
@@ -137,28 +144,30 @@
     async def read(self, reader, connection, open_requests):
         try:
             while True:
-                tag, status, fields, body = (await read_answer(reader))[:4]
+                tag, status, fields, body = (await read_response(reader))[:4]
                 at = time.monotonic()
-                if self.behaviour.reads_bytes_per_s:
-                    await asyncio.sleep(len(body) / self.behaviour.reads_bytes_per_s)
-                self.take(tag, status.decode(), fields.decode(), body, at, connection, open_requests)
-                self.changed.set()
+                if self.behaviour.read_bytes_per_s:
+                    await asyncio.sleep(len(body) / self.behaviour.read_bytes_per_s)
+                self.handle_response(tag, status.decode(), fields.decode(), body, at, connection,
+                                     open_requests)
+                self.progress.set()
         except (asyncio.IncompleteReadError, ConnectionError, OSError):
-            connection.ended_at = time.monotonic()
-            self.changed.set()
+            connection.instance_closed_at = time.monotonic()
+            self.progress.set()
 
-    def take(self, tag, status, fields, body, at, connection, open_requests):
+    def handle_response(self, tag, status, fields, body, at, connection, open_requests):
+        """Records a response with its request. Responses to a cancelled request are ignored."""
         request = open_requests.pop(tag, None)
         if request is None:
             known = [one for one in self.history.requests if one.connection == connection.number]
             index = int(tag) - 1
             if index < len(known) and known[index].cancelled_at is None:
-                known[index].answers.append((at, status, None, True))  # a second answer
+                known[index].responses.append((at, status, None, True))  # a duplicate response
             return
         issued, is_right = None, True
         if status == "done":
             issued = int(body.split(b":", 1)[0]) if b":" in body else None
-            is_right = issued is not None and body == body_of(request.object_id, "0", issued, len(body))
-        request.answers.append((at, status, issued, is_right))
-        if status == "later" and "cooldown=" in fields and self.behaviour.heeds_cooldown:
+            is_right = issued is not None and body == make_body(request.object_id, "0", issued, len(body))
+        request.responses.append((at, status, issued, is_right))
+        if status == "later" and "cooldown=" in fields and self.behaviour.honours_cooldown:
             self.cooldown_until = at + min(int(fields.split("cooldown=")[1].split(",")[0]), 500) / 1000
--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -1,20 +1,23 @@
-"""What clients, servers, the endpoint watch and operators saw, as typed events on one monotonic clock (seconds)."""
+"""Typed events observed by clients, servers, the endpoint watch and the operators.
+
+All times are seconds of one monotonic clock (time.monotonic()) unless a comment says otherwise.
+"""
 from dataclasses import dataclass, field
 
 
 @dataclass
 class Request:
-    """One request of a client and all that its client saw of it."""
+    """A client's request and everything that its client observed about it."""
     reference: str
     instance: str
-    connection: int
+    connection: int  # Connection.number
     class_name: str
     effect: str  # repeatable, by_key or once
-    window: float  # of an idempotency key
-    allow: float
+    key_window: float  # seconds for which its idempotency key is valid
+    timeout: float  # seconds that the client allows
     object_id: str
-    written_at: float  # its last byte
-    answers: list = field(default_factory=list)  # (at, status, issued, is_body_right)
+    written_at: float  # when the last byte was written
+    responses: list = field(default_factory=list)  # (at, status, issued, is_body_right)
     cancelled_at: float | None = None
 
 
@@ -25,51 +28,52 @@
     instance: str
     opened_at: float
     client_closed_at: float | None = None
-    ended_at: float | None = None  # by the instance
+    instance_closed_at: float | None = None
 
 
 @dataclass
 class Attempt:
-    """A request as it reached a server."""
+    """A request as a server received it."""
     reference: str
     server: str
-    source: str | None
-    budget: float | None
+    source: str | None  # the server to fill from on a miss
+    budget: float | None  # seconds left, as the instance stated them
     arrived_at: float
     instance: str
-    ended_at: float | None = None  # answered, stopped, or its connection ended
-    outcome: str | None = None  # the word of the answer; None: stopped or never answered
+    ended_at: float | None = None  # answered or stopped, or its connection ended
+    outcome: str | None = None  # status word of the response; None: stopped or not answered
 
 
 @dataclass
 class Purge:
     object_id: str
-    told_at: float  # written to the change log
-    time: float  # its Unix time, on the clock of `issued`
-    received_at: dict = field(default_factory=dict)  # by instance: the line was whole on its watch
+    announced_at: float  # when it was published to the endpoint watch
+    time: float  # Unix time in ms, comparable with `issued` of a response
+    received_at: dict = field(default_factory=dict)  # by instance: when its watch sent the whole line
 
 
 @dataclass
 class Drain:
     server: str
-    told_at: float
-    until: float = float("inf")  # when it was listed as up again
-    received_at: dict = field(default_factory=dict)
+    announced_at: float
+    up_again_at: float = float("inf")  # when the server was listed as up again
+    received_at: dict = field(default_factory=dict)  # as in Purge
 
 
 @dataclass
 class Standby:
+    """One standby period of an instance."""
     instance: str
     called_at: float
-    until: float  # when the next call came
-    next_call: str  # active, or the end of the run
+    next_call_at: float
+    next_call: str  # "active", or the end of the run
 
 
 @dataclass
-class Status:
-    """An answer of the admin listener; None: it did not come within a second."""
+class AdminCall:
+    """A call to the admin listener; answered_at and text are None if no answer came before the time limit."""
     instance: str
-    call: str
+    command: str
     asked_at: float
     answered_at: float | None
     text: str | None
@@ -82,19 +86,20 @@
     instance: str
     started_at: float
     ready_at: float | None = None
-    told_to_stop_at: float | None = None
-    killed_at: float | None = None  # by the soak
+    sigterm_at: float | None = None
+    killed_at: float | None = None  # when the soak sent SIGKILL
     ended_at: float | None = None
     exit_status: int | None = None
     pauses: list = field(default_factory=list)  # (from, to) between SIGSTOP and SIGCONT
 
     def paused(self, start: float, end: float) -> float:
-        """Seconds of the span in which the process was stopped."""
+        """Returns for how many seconds between start and end the process was paused."""
         return sum(max(0.0, min(end, until) - max(start, since)) for since, until in self.pauses)
 
 
 @dataclass
 class History:
+    """Everything that one run recorded."""
     seed: int = 0
     requests: list[Request] = field(default_factory=list)
     connections: dict[int, Connection] = field(default_factory=dict)
@@ -102,8 +107,8 @@
     purges: list[Purge] = field(default_factory=list)
     drains: list[Drain] = field(default_factory=list)
     standbys: list[Standby] = field(default_factory=list)
-    statuses: list[Status] = field(default_factory=list)
+    admin_calls: list[AdminCall] = field(default_factory=list)
     processes: dict[int, Process] = field(default_factory=dict)
     faults: list = field(default_factory=list)  # (at, text)
     ended_at: float = 0.0
-    lags: list = field(default_factory=list)  # (at, seconds) where the soak's own loop ran late
+    lags: list = field(default_factory=list)  # (at, seconds): delays of the soak's own event loop
--- a/tests/soak/servers.py
+++ b/tests/soak/servers.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the servers of an instance (edge caches, parent, origin) and for the endpoint watch."""
+"""Simulated servers (edge caches, parent cache, origin) and the simulated endpoint watch of an instance."""
 import asyncio
 import hashlib
 import json
@@ -11,33 +11,34 @@
 LOOPBACK = "127.0.0.1"
 
 
-def body_of(object_id: str, part: str, issued: int, size: int) -> bytes:
-    """The bytes of a copy: told by what it is, so that a client knows whether they are right."""
+def make_body(object_id: str, part: str, issued: int, size: int) -> bytes:
+    """Returns the body of a copy, derived from its identity so that a client can verify it."""
     seed = hashlib.sha256(f"{object_id}/{part}/{issued}".encode()).hexdigest().encode()
     head = f"{issued}:".encode()
     return (head + seed * (size // len(seed) + 1))[:max(size, len(head))]
 
 
-def fields_of(text: str) -> dict:
+def parse_fields(text: str) -> dict:
+    """Parses `key=value,...`; "-" stands for no fields."""
     return dict(part.split("=", 1) for part in text.split(",") if "=" in part) if text != "-" else {}
 
 
 @dataclass
 class ServerBehaviour:
-    """How a server answers now. Chances are drawn for each request."""
-    delay: float = 0.04
-    jitter: float = 0.08
-    busy: float = 0.0
-    error: float = 0.0
-    is_hanging: bool = False  # requests are taken and never answered
-    is_silent: bool = False  # cut off: no request gets there, no answer comes, and connections stay open
-    reset: float = 0.0  # the connection is reset in place of an answer
-    cut: float = 0.0  # the connection ends in the middle of an answer
-    pieces: bool = False  # answers come in pieces
+    """How a server currently responds. Chances apply to each request."""
+    delay: float = 0.04  # seconds
+    jitter: float = 0.08  # seconds, the maximum added to the delay
+    busy_chance: float = 0.0
+    error_chance: float = 0.0
+    is_hanging: bool = False  # receives requests and never responds
+    is_silent: bool = False  # unreachable: requests and responses are lost, connections stay open
+    reset_chance: float = 0.0  # resets the connection instead of responding
+    cut_chance: float = 0.0  # closes the connection in the middle of a response
+    splits_responses: bool = False  # writes each response in two parts
 
 
 class Server:
-    """One server; a listener for each instance, so that it knows who asks."""
+    """A server with one listener per instance, so that it knows which instance sent a request."""
 
     def __init__(self, name: str, kind: str, history: History, instances: list[str], seed: str):
         self.name = name
@@ -60,8 +61,8 @@
             self.listeners.append(listener)
             self.addresses[instance] = "%s:%d" % listener.sockets[0].getsockname()[:2]
 
-    def die(self):
-        """The process ends: its connections are reset."""
+    def terminate(self):
+        """Closes the listeners and resets all connections, as when the process ends."""
         self.is_up = False
         for listener in self.listeners:
             listener.close()
@@ -82,8 +83,8 @@
                     continue
                 if words[0] == "REQ":
                     body = await reader.readexactly(int(words[3]) + 2)
-                    if not self.behaviour.is_silent:  # else it does not get there
-                        self.take(instance, words, body[:-2], writer, open_requests)
+                    if not self.behaviour.is_silent:  # a request to a silent server is lost
+                        self.handle_request(instance, words, body[:-2], writer, open_requests)
                 elif words[0] == "STOP" and words[1] in open_requests:
                     attempt, task = open_requests.pop(words[1])
                     attempt.ended_at = time.monotonic()
@@ -99,69 +100,72 @@
             self.writers.discard(writer)
             writer.close()
 
-    def take(self, instance, words, body, writer, open_requests):
-        reference, fields = words[1], fields_of(words[2])
+    def handle_request(self, instance, words, body, writer, open_requests):
+        reference, fields = words[1], parse_fields(words[2])
         attempt = Attempt(reference, self.name, fields.get("miss"),
                           float(fields["budget"]) / 1000 if "budget" in fields else None, time.monotonic(), instance)
         self.history.attempts.append(attempt)
-        task = asyncio.ensure_future(self.answer(reference, fields, attempt, writer, open_requests))
+        task = asyncio.ensure_future(self.respond(reference, fields, attempt, writer, open_requests))
         open_requests[reference] = (attempt, task)
 
-    async def answer(self, reference, fields, attempt, writer, open_requests):
-        how = self.behaviour
-        if how.is_hanging:
+    async def respond(self, reference, fields, attempt, writer, open_requests):
+        behaviour = self.behaviour
+        if behaviour.is_hanging:
             return
-        held = self.copies.get((fields["path"], fields.get("blk", "0")))
-        is_fill = held is None and self.kind != "store"
-        await asyncio.sleep(how.delay + self.random.random() * how.jitter + (0.03 if is_fill else 0.0))
+        cached_issued = self.copies.get((fields["path"], fields.get("blk", "0")))
+        is_fill = cached_issued is None and self.kind != "store"
+        await asyncio.sleep(behaviour.delay + self.random.random() * behaviour.jitter + (0.03
+                                                                                         if is_fill else 0.0))
         if self.behaviour.is_hanging or self.behaviour.is_silent:
             return
         draw = self.random.random()
-        if draw < how.busy:
-            return self.finish(reference, "BUSY", "-", b"", attempt, writer, open_requests)
-        if draw < how.busy + how.error:
-            return self.finish(reference, "ERR", "-", b"", attempt, writer, open_requests)
+        if draw < behaviour.busy_chance:
+            return self.write_response(reference, "BUSY", "-", b"", attempt, writer, open_requests)
+        if draw < behaviour.busy_chance + behaviour.error_chance:
+            return self.write_response(reference, "ERR", "-", b"", attempt, writer, open_requests)
         if is_fill and "miss" not in fields:
-            return self.finish(reference, "MISS", "-", b"", attempt, writer, open_requests)
-        issued = held if held is not None and self.kind != "store" else int(time.time() * 1000)
-        if is_fill:  # a copy that was purged meanwhile does not come back
+            return self.write_response(reference, "MISS", "-", b"", attempt, writer, open_requests)
+        issued = (cached_issued if cached_issued is not None and self.kind != "store"
+                  else int(time.time() * 1000))
+        if is_fill:  # issued after the delay, so a copy that was purged meanwhile does not come back
             self.copies[(fields["path"], fields.get("blk", "0"))] = issued
-        body = body_of(fields["path"], fields.get("blk", "0"), issued, 60 + self.random.randrange(3000))
+        body = make_body(fields["path"], fields.get("blk", "0"), issued, 60 + self.random.randrange(3000))
         text = f"entity={issued:x},issued={issued},detail={'pulled' if is_fill else 'local'}"
-        if draw > 1 - how.reset:
+        if draw > 1 - behaviour.reset_chance:
             open_requests.pop(reference, None)
             attempt.ended_at = time.monotonic()
             return writer.transport.abort()
-        if draw > 1 - how.reset - how.cut:
+        if draw > 1 - behaviour.reset_chance - behaviour.cut_chance:
             writer.write(f"{reference} OK {text} {len(body)}\r\n".encode() + body[:20])
             open_requests.pop(reference, None)
             attempt.ended_at = time.monotonic()
             return writer.close()
-        self.finish(reference, "OK", text, body, attempt, writer, open_requests)
+        self.write_response(reference, "OK", text, body, attempt, writer, open_requests)
 
-    def finish(self, reference, word, fields, body, attempt, writer, open_requests):
+    def write_response(self, reference, word, fields, body, attempt, writer, open_requests):
         open_requests.pop(reference, None)
         attempt.ended_at = time.monotonic()
         attempt.outcome = word
         data = f"{reference} {word} {fields} {len(body)}\r\n".encode() + body + b"\r\n"
-        if not self.behaviour.pieces:
+        if not self.behaviour.splits_responses:
             return writer.write(data)
         middle = len(data) // 2
         writer.write(data[:middle])
         asyncio.get_event_loop().call_later(0.02, writer.write, data[middle:])
 
     def purge(self, object_id: str):
+        """Removes all copies of the object."""
         for key in [key for key in self.copies if key[0] == object_id]:
             del self.copies[key]
 
 
 class EndpointWatch:
-    """The change log: one listener for each instance, numbered events from 1 at each start of a process."""
+    """The endpoint watch (change log) of one instance. Events are numbered from 1 for each instance."""
 
     def __init__(self, instance: str, known: list):
         self.instance = instance
         self.events = list(known)  # (event without its number, on_written)
-        self.writers = []
+        self.writers = []  # [writer, index of the next event to write]
         self.is_stalled = False
         self.is_down = False
         self.address = ""
@@ -169,9 +173,9 @@
     async def start(self):
         self.listener = await asyncio.start_server(self.serve, LOOPBACK, 0)
         self.address = "%s:%d" % self.listener.sockets[0].getsockname()[:2]
-        self.beat_task = asyncio.ensure_future(self.beat())
+        self.heartbeat_task = asyncio.ensure_future(self.send_heartbeats())
 
-    def numbered(self, index: int) -> str:
+    def event_line(self, index: int) -> str:
         return json.dumps({"seq": index + 1, **self.events[index][0]})
 
     async def serve(self, reader, writer):
@@ -192,26 +196,28 @@
             writer.close()
 
     def flush(self, state):
+        """Writes the pending events unless the watch is stalled."""
         writer, position = state
         while not self.is_stalled and position < len(self.events):
-            writer.write(self.numbered(position).encode() + b"\n")
+            writer.write(self.event_line(position).encode() + b"\n")
             self.events[position][1](self.instance, time.monotonic())
             position += 1
         state[1] = position
 
-    def tell(self, event: dict, on_written=lambda instance, at: None):
+    def publish(self, event: dict, on_written=lambda instance, at: None):
+        """Adds an event; calls on_written(instance, at) after each write of it to a connection."""
         self.events.append((event, on_written))
         for state in self.writers:
             self.flush(state)
 
     def cut(self, in_line: bool):
-        """The connections end, perhaps in the middle of a line."""
+        """Closes all connections; with in_line, after a truncated line."""
         for writer, _ in self.writers:
             if in_line:
                 writer.write(b'{"seq":99999,"fle')
             writer.close()
 
-    async def beat(self):
+    async def send_heartbeats(self):
         while True:
             await asyncio.sleep(1.0)
             for state in self.writers:
--- a/tests/soak/test_checker.py
+++ b/tests/soak/test_checker.py
@@ -1,19 +1,20 @@
 #!/usr/bin/env python3
-"""Feeds the checker a broken history for each rule and sees it named, and a clean one and sees none."""
+"""Checks that the checker names each rule that a history breaks, and none for a clean history."""
 import pathlib
 import sys
 import unittest
 
 sys.path.insert(0, str(pathlib.Path(__file__).resolve().parent))
 import schedule  # noqa: E402
-from checker import Checker, story  # noqa: E402
-from history import (Attempt, Connection, Drain, History, Process, Purge, Request, Standby, Status)  # noqa: E402
+from checker import Checker, request_timeline  # noqa: E402
+from history import (AdminCall, Attempt, Connection, Drain, History, Process, Purge, Request,
+                     Standby)  # noqa: E402
 
 
 def served_request(history, reference="r1", written_at=10.0, effect="repeatable"):
-    """A request that was written, sent once and served."""
+    """Adds a request that was written, sent once and served."""
     request = Request(reference, "n0", 1, "pages", effect, 2.0, 1.0, "obj", written_at)
-    request.answers.append((written_at + 0.1, "done", 5000, True))
+    request.responses.append((written_at + 0.1, "done", 5000, True))
     history.requests.append(request)
     history.attempts.append(Attempt(reference, "s-1", None, 0.9, written_at + 0.02, "n0", written_at + 0.09, "OK"))
     return request
@@ -34,40 +35,40 @@
     def test_clean_history(self):
         self.assert_rules()
 
-    def test_no_answer(self):
-        self.request.answers.clear()
+    def test_no_response(self):
+        self.request.responses.clear()
         self.assert_rules("lost")
 
-    def test_no_answer_before_its_connection_ended(self):
-        self.request.answers.clear()
-        self.connection.ended_at = 10.2
+    def test_no_response_before_its_connection_ended(self):
+        self.request.responses.clear()
+        self.connection.instance_closed_at = 10.2
         self.assert_rules("lost")
-        self.connection.ended_at = 10.03  # it crossed the end
+        self.connection.instance_closed_at = 10.03  # written just before the connection ended
         self.assert_rules()
 
-    def test_late_answer(self):
-        self.request.answers[0] = (11.4, "later", None, True)
+    def test_late_response(self):
+        self.request.responses[0] = (11.4, "later", None, True)
         self.attempt.outcome = "BUSY"
         self.assert_rules()
-        self.request.answers[0] = (11.6, "later", None, True)
+        self.request.responses[0] = (11.6, "later", None, True)
         self.assert_rules("lost")
         self.history.processes[1].pauses.append((10.2, 10.5))
         self.assert_rules()
 
-    def test_two_answers(self):
-        self.request.answers.append((10.2, "done", 5000, True))
+    def test_two_responses(self):
+        self.request.responses.append((10.2, "done", 5000, True))
         self.assert_rules("one answer")
 
     def test_wrong_bytes(self):
-        self.request.answers[0] = (10.1, "done", 5000, False)
+        self.request.responses[0] = (10.1, "done", 5000, False)
         self.assert_rules("bytes")
 
     def test_killed_process(self):
-        self.request.answers.clear()
+        self.request.responses.clear()
         process = self.history.processes[1]
         process.killed_at = process.ended_at = 10.3
         self.assert_rules()
-        process.told_to_stop_at = 8.0  # what SIGKILL finds unanswered after SIGTERM is lost
+        process.sigterm_at = 8.0  # after SIGTERM, a request that SIGKILL leaves unanswered is lost
         self.assert_rules("lost")
 
     def test_two_attempts_at_once(self):
@@ -75,48 +76,48 @@
         self.history.attempts.append(Attempt("r1", "s-2", None, 0.9, 10.05, "n0", 10.09, "OK"))
         self.assert_rules("two attempts")
 
-    def test_second_run_of_a_class_that_runs_once(self):
+    def test_second_execution_of_a_class_that_runs_once(self):
         self.request.effect = "once"
         self.assert_rules()
         self.attempt.outcome = "ERR"
         self.history.attempts.append(Attempt("r1", "s-2", None, 0.8, 10.095, "n0", 10.099, "OK"))
         self.assert_rules("effect")
-        self.attempt.outcome = "BUSY"  # it never ran
+        self.attempt.outcome = "BUSY"  # the server did not execute it
         self.assert_rules()
 
-    def test_key_that_has_lapsed(self):
-        self.request.effect, self.request.allow = "by_key", 5.0
-        self.request.answers[0] = (12.5, "done", 5000, True)
+    def test_retry_after_key_expired(self):
+        self.request.effect, self.request.timeout = "by_key", 5.0
+        self.request.responses[0] = (12.5, "done", 5000, True)
         self.attempt.outcome = "ERR"
         self.history.attempts.append(Attempt("r1", "s-2", None, 0.8, 12.3, "n0", 12.4, "OK"))
         self.assert_rules("effect")
 
-    def test_rejection_of_what_may_have_run(self):
+    def test_rejection_after_possible_execution(self):
         self.request.effect = "once"
-        self.request.answers[0] = (10.1, "later", None, True)
+        self.request.responses[0] = (10.1, "later", None, True)
         self.attempt.outcome = None
         self.assert_rules("effect")
 
-    def test_attempt_after_the_answer(self):
+    def test_attempt_after_the_response(self):
         self.history.attempts.append(Attempt("r1", "s-2", None, 0.1, 10.3, "n0", 10.4, "OK"))
         self.assert_rules("after the answer")
 
-    def test_attempt_after_the_client_left(self):
-        self.request.answers.clear()
+    def test_attempt_after_the_client_cancelled(self):
+        self.request.responses.clear()
         self.request.cancelled_at = 10.01
         self.attempt.arrived_at = 10.3
         self.attempt.ended_at = 10.35
         self.attempt.budget = 0.1
         self.assert_rules("client gone")
 
-    def test_budget_beyond_what_is_left(self):
+    def test_budget_above_time_left(self):
         self.attempt.budget = 1.3
         self.assert_rules("budget")
 
     def test_purged_copy(self):
         self.history.purges.append(Purge("obj", 8.0, 6000, {"n0": 8.5}))
         self.assert_rules("purge")
-        self.history.purges[0].received_at["n0"] = 9.5  # not a second ago
+        self.history.purges[0].received_at["n0"] = 9.5  # less than a second before the copy was served
         self.assert_rules()
 
     def test_draining_server(self):
@@ -125,36 +126,36 @@
         self.history.drains[0].received_at["n0"] = 9.6
         self.assert_rules()
 
-    def test_connection_held_in_standby(self):
+    def test_idle_connection_open_in_standby(self):
         self.history.standbys.append(Standby("n0", 20.0, 26.0, "active"))
         self.assert_rules("standby")
-        self.connection.ended_at = 21.0
+        self.connection.instance_closed_at = 21.0
         self.assert_rules()
 
-    def test_young_request_carried_in_standby(self):
-        self.history.standbys.append(Standby("n0", 6.2, 12.0, "active"))  # the look is at 10.2
-        self.connection.ended_at = 11.0
-        self.request.answers[0] = (10.5, "done", 5000, True)
+    def test_recent_request_open_in_standby(self):
+        self.history.standbys.append(Standby("n0", 6.2, 12.0, "active"))  # the check is at 10.2
+        self.connection.instance_closed_at = 11.0
+        self.request.responses[0] = (10.5, "done", 5000, True)
         self.assert_rules("standby")
-        self.request.written_at, self.request.allow = 8.1, 3.0
+        self.request.written_at, self.request.timeout = 8.1, 3.0
         self.assert_rules()
 
-    def test_yes_during_standby(self):
-        self.connection.ended_at = 19.0
+    def test_ready_during_standby(self):
+        self.connection.instance_closed_at = 19.0
         self.history.standbys.append(Standby("n0", 20.0, 26.0, "active"))
-        self.history.statuses.append(Status("n0", "status", 22.0, 22.1, "done serving"))
+        self.history.admin_calls.append(AdminCall("n0", "status", 22.0, 22.1, "done serving"))
         self.assert_rules("standby")
 
-    def test_no_after_active(self):
-        self.connection.ended_at = 19.0
+    def test_not_ready_after_active(self):
+        self.connection.instance_closed_at = 19.0
         self.history.standbys.append(Standby("n0", 20.0, 26.0, "active"))
-        self.history.statuses.append(Status("n0", "status", 28.5, 28.6, "error standby"))
+        self.history.admin_calls.append(AdminCall("n0", "status", 28.5, 28.6, "error standby"))
         self.assert_rules("standby")
 
-    def test_admin_listener_that_is_late(self):
-        self.history.statuses.append(Status("n0", "status", 30.0, 31.5, "done serving"))
+    def test_late_admin_answer(self):
+        self.history.admin_calls.append(AdminCall("n0", "status", 30.0, 31.5, "done serving"))
         self.assert_rules("admin")
-        self.history.statuses[0] = Status("n0", "status", 30.0, None, None)
+        self.history.admin_calls[0] = AdminCall("n0", "status", 30.0, None, None)
         self.assert_rules("admin")
 
     def test_process_that_is_never_ready(self):
@@ -168,12 +169,12 @@
 
     def test_exit_after_sigterm(self):
         process = self.history.processes[1]
-        process.told_to_stop_at, process.ended_at, process.exit_status = 49.0, 50.0, 0
+        process.sigterm_at, process.ended_at, process.exit_status = 49.0, 50.0, 0
         self.assert_rules()
 
-    def test_story_names_all_sides(self):
+    def test_timeline_names_all_sides(self):
         self.history.faults.append((9.5, "server_hang s-1"))
-        text = "\n".join(story(self.history, "r1"))
+        text = "\n".join(request_timeline(self.history, "r1"))
         for part in ("client: written", "server s-1: request", "client: answer done", "fault: server_hang s-1"):
             self.assertIn(part, text)
 
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -1,4 +1,4 @@
-"""One day: the instances as real processes, the servers and clients around them, the operators and the faults."""
+"""Runs one day: instances as real processes, simulated servers and clients, operators and injected faults."""
 import asyncio
 import errno
 import json
@@ -12,16 +12,16 @@
 import tempfile
 import time
 
-from clients import Client, encode, read_answer
-from history import Drain, History, Process, Purge, Standby, Status
+from clients import Client, encode, read_response
+from history import AdminCall, Drain, History, Process, Purge, Standby
 from schedule import Day, Fault
 from servers import LOOPBACK, EndpointWatch, Server, ServerBehaviour
 
-READY_POLL = 0.1
-KILL_MARGIN = 0.7
-NOTED_LAG = 0.01
-MAX_DEADLINE_BEFORE_KILL = 3.0
-# fault_control.hpp: the clock's offset, then an error and a count for each call.
+READY_POLL_INTERVAL_S = 0.1
+KILL_MARGIN_S = 0.7  # between the longest deadline after SIGTERM and SIGKILL
+MIN_RECORDED_LAG_S = 0.01  # shorter delays of the event loop are not recorded
+MAX_DEADLINE_BEFORE_KILL_S = 3.0
+# Layout of tests/net/fault_control.hpp: the clock offset, then an error and a count for each call.
 CALLS = ["accept", "socket", "connect", "receive", "send", "wait", "register", "write", "sync"]
 CONTROL_BYTES = 8 + 8 * len(CALLS)
 CALL_ERRORS = {"accept": [errno.ENFILE, errno.ENOBUFS, errno.ECONNABORTED, errno.EPROTO], "wait": [errno.EINTR],
@@ -30,11 +30,14 @@
                "register": [errno.ENOMEM]}
 
 
-FIRST_PORT, LAST_PORT = 10_000, 32_000  # below those that the system gives to outgoing connections
+FIRST_PORT, LAST_PORT = 10_000, 32_000  # below the ephemeral ports of outgoing connections
 
 
 def free_port() -> int:
-    """A port that nobody listens at, nor is given to a connection between now and its use."""
+    """Returns a port on which nothing listens.
+
+    It is outside the ephemeral range, so no outgoing connection gets it before it is used.
+    """
     while True:
         port = secrets.choice(range(FIRST_PORT, LAST_PORT))
         with socket.socket() as probe:
@@ -46,28 +49,30 @@
 
 
 class Instance:
-    """An instance: its addresses, its watch, and its processes, of which an upgrade has two."""
+    """An instance: its addresses, endpoint watch and processes. During an upgrade it has two processes."""
 
     def __init__(self, name: str):
         self.name = name
         self.port = free_port()
         self.admin_port = 0
         self.watch: EndpointWatch | None = None
-        self.processes = []  # running, the newest last
-        self.is_taken_by_front = False
+        self.processes = []  # running ones, the newest last
+        self.is_in_rotation = False
         self.standby_since: float | None = None
         self.config_path = ""
-        self.busy_with = ""  # an operation of the operators: one at a time
+        self.current_operation = ""  # of the operators, one at a time; "": none
 
 
 class World:
+    """The instances, servers, clients and operators of one run, and the history that they record."""
+
     def __init__(self, day: Day, program: str, shim: str):
         self.day = day
         self.seed = day.seed
         self.program = program
         self.shim = shim
         self.history = History(day.seed)
-        self.is_over = False
+        self.has_ended = False
         self.classes = day.classes
         self.connections = 0
         self.random = random.Random(f"world/{day.seed}")
@@ -79,15 +84,16 @@
         self.tasks = []
         self.running = {}  # process number: (asyncio process, control map, log file)
 
-    # ---- What clients ask. ----
+    # ---- Used by clients. ----
 
     def next_connection(self) -> int:
         self.connections += 1
         return self.connections
 
-    def choose(self, rng):
-        taken = [one for one in self.instances if one.is_taken_by_front]
-        return rng.choice(taken).name if taken else None
+    def choose_instance(self, rng):
+        """Returns the name of a random instance in rotation, or None if there is none."""
+        available = [one for one in self.instances if one.is_in_rotation]
+        return rng.choice(available).name if available else None
 
     def address(self, name):
         return LOOPBACK, next(one for one in self.instances if one.name == name).port
@@ -118,13 +124,14 @@
                 "rules": {"coldShare": 0.2, "warmAfterMs": 16000.0, "fallMultiple": 2.5, "tipAfterMs": 3000.0,
                           "drainGraceMs": 500.0, "graceToAnswerMs": 8.0}, "weights": "off", "registryMode": "automatic"}
 
-    def member(self, server: Server, instance: str, state="up"):
+    def server_entry(self, server: Server, instance: str, state="up"):
         return {"id": server.name, "addr": server.addresses[instance], "zone": "edge" if server.kind == "box" else "core",
                 "kind": server.kind, "cell": 0, "state": state, "weight": 1, "started_ms": 0}
 
     def write_config(self, instance: Instance, broken=False):
+        """Writes the configuration with all events so far as known; with `broken`, only its first half."""
         watch = instance.watch
-        known = {"seq": len(watch.events), "results": [json.loads(watch.numbered(number))
+        known = {"seq": len(watch.events), "results": [json.loads(watch.event_line(number))
                                                        for number in range(len(watch.events))]}
         config = {"name": instance.name, "listen": f"{LOOPBACK}:{instance.port}", "seed": f"{self.seed:016x}",
                   "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "changelog": watch.address, "known": known,
@@ -163,19 +170,20 @@
         process.ended_at = time.monotonic()
         instance.processes = [one for one in instance.processes if one is not process]
         if not instance.processes:
-            instance.is_taken_by_front = False
+            instance.is_in_rotation = False
 
     async def wait_ready(self, instance, process):
-        while not self.is_over and process.ended_at is None:
-            text = await self.ask(instance, "status", record=False)
+        """Returns True once the process reports ready, False if it or the run ended first."""
+        while not self.has_ended and process.ended_at is None:
+            text = await self.call_admin(instance, "status", record=False)
             if text is not None and text.startswith("done"):
                 process.ready_at = time.monotonic()
                 return True
-            await asyncio.sleep(READY_POLL)
+            await asyncio.sleep(READY_POLL_INTERVAL_S)
         return False
 
-    async def ask(self, instance, call, record=True):
-        """The admin listener's answer to one call; None: none came."""
+    async def call_admin(self, instance, call, record=True):
+        """Returns the admin listener's answer to a call, or None if there was none within 3 s."""
         asked_at, port = time.monotonic(), instance.admin_port
         text = None
         try:
@@ -187,8 +195,8 @@
         except (OSError, asyncio.TimeoutError):
             pass
         if record:
-            self.history.statuses.append(Status(instance.name, call, asked_at,
-                                                time.monotonic() if text is not None else None, text))
+            self.history.admin_calls.append(AdminCall(instance.name, call, asked_at,
+                                                      time.monotonic() if text is not None else None, text))
         return text
 
     def signal(self, process, number):
@@ -201,21 +209,22 @@
             process.killed_at = time.monotonic()
             self.signal(process, signal.SIGKILL)
 
-    # ---- The front and the operators' look, every 0.1 s. ----
+    # ---- Readiness checks of the front and the operators, every 0.1 s. ----
 
-    async def front(self, instance):
-        while not self.is_over:
-            if instance.processes and instance.busy_with not in ("restart", "upgrade", "kill"):
-                text = await self.ask(instance, "status")
+    async def poll_readiness(self, instance):
+        """Adds a ready instance to the rotation; removes an instance 0.2 s after it reports not ready."""
+        while not self.has_ended:
+            if instance.processes and instance.current_operation not in ("restart", "upgrade", "kill"):
+                text = await self.call_admin(instance, "status")
                 is_ready = text is not None and text.startswith("done")
-                if not is_ready and instance.is_taken_by_front:
-                    asyncio.get_event_loop().call_later(0.2, self.let_go, instance)
+                if not is_ready and instance.is_in_rotation:
+                    asyncio.get_event_loop().call_later(0.2, self.remove_from_rotation, instance)
                 elif is_ready:
-                    instance.is_taken_by_front = True
-            await asyncio.sleep(READY_POLL)
+                    instance.is_in_rotation = True
+            await asyncio.sleep(READY_POLL_INTERVAL_S)
 
-    def let_go(self, instance):
-        instance.is_taken_by_front = False
+    def remove_from_rotation(self, instance):
+        instance.is_in_rotation = False
 
     # ---- The day. ----
 
@@ -225,18 +234,20 @@
         return task
 
     async def measure_lag(self):
-        while not self.is_over:
+        """Records delays of this event loop, by which the checker extends the time limits."""
+        while not self.has_ended:
             before = time.monotonic()
             await asyncio.sleep(0.005)
             lag = time.monotonic() - before - 0.005
-            if lag > NOTED_LAG:
+            if lag > MIN_RECORDED_LAG_S:
                 self.history.lags.append((before, lag))
 
     async def run(self):
+        """Runs the day; returns the names of the instances that failed the final probe."""
         for server in self.servers:
             await server.start()
         for instance in self.instances:
-            members = [self.member(server, instance.name) for server in self.servers]
+            members = [self.server_entry(server, instance.name) for server in self.servers]
             first = {"fleet": {"version": 1, "full": True, "servers": members}}
             instance.watch = EndpointWatch(instance.name, [(first, lambda name, at: None)])
             await instance.watch.start()
@@ -246,20 +257,20 @@
         started_at = time.monotonic()
         self.started_at = started_at
         for instance in self.instances:
-            self.spawn(self.front(instance))
+            self.spawn(self.poll_readiness(instance))
         await asyncio.sleep(0.5)
         self.spawn(self.measure_lag())
         for number, behaviour in enumerate(self.day.clients):
             self.spawn(Client(number, self, behaviour).run())
         for fault in self.day.faults:
             await asyncio.sleep(max(0.0, started_at + fault.at - time.monotonic()))
-            self.spawn(self.play(fault))
+            self.spawn(self.inject(fault))
         await asyncio.sleep(max(0.0, started_at + self.day.seconds - time.monotonic()))
-        served = await self.final_probe()
-        self.is_over = True
+        unresponsive = await self.final_probe()
+        self.has_ended = True
         self.history.ended_at = time.monotonic()
         await self.clean_up()
-        return served
+        return unresponsive
 
     async def clean_up(self):
         for child, _, _ in self.running.values():
@@ -269,135 +280,139 @@
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
         for server in self.servers:
-            server.die()
+            server.terminate()
 
     async def final_probe(self):
-        """Instances that serve nobody though they say that they are ready."""
-        idle = []
+        """Returns the instances that report ready but do not answer a health request."""
+        unresponsive = []
         for instance in self.instances:
-            if not instance.is_taken_by_front or instance.busy_with:
+            if not instance.is_in_rotation or instance.current_operation:
                 continue
             try:
                 reader, writer = await asyncio.open_connection(LOOPBACK, instance.port)
                 writer.write(encode(["RPC.HEALTH", "1", ""]))
-                words = await asyncio.wait_for(read_answer(reader), 2.0)
+                words = await asyncio.wait_for(read_response(reader), 2.0)
                 writer.close()
                 if words[1] != b"healthy":
-                    idle.append(instance.name)
+                    unresponsive.append(instance.name)
             except (OSError, asyncio.TimeoutError, asyncio.IncompleteReadError):
-                idle.append(instance.name)
-        return idle
+                unresponsive.append(instance.name)
+        return unresponsive
 
     # ---- Faults. ----
 
-    async def play(self, fault: Fault):
+    async def inject(self, fault: Fault):
         instance = self.instances[fault.instance]
         server = self.servers[fault.server % len(self.servers)]
         name = instance.name if fault.kind in OPERATIONS or fault.kind.startswith(("watch", "clock", "calls")) else server.name
-        self.history.faults.append((time.monotonic(), f"{fault.kind} {name} for {fault.span:.1f} s"))
+        self.history.faults.append((time.monotonic(), f"{fault.kind} {name} for {fault.duration:.1f} s"))
         if fault.kind in OPERATIONS:
-            if instance.busy_with or not instance.processes:
+            if instance.current_operation or not instance.processes:
                 return
-            # A standby may be crossed by any other operation.
-            instance.busy_with = fault.kind if fault.kind != "standby" else ""
+            # Any other operation may run during a standby.
+            instance.current_operation = fault.kind if fault.kind != "standby" else ""
             try:
-                await getattr(self, "play_" + fault.kind)(instance, fault)
+                await getattr(self, "inject_" + fault.kind)(instance, fault)
             finally:
-                instance.busy_with = ""
+                instance.current_operation = ""
         elif fault.kind.startswith("server_"):
-            await self.play_server(server, fault)
+            await self.inject_server(server, fault)
         else:
-            await getattr(self, "play_" + fault.kind)(instance, fault)
+            await getattr(self, "inject_" + fault.kind)(instance, fault)
 
-    async def play_standby(self, instance, fault, span=6.0):
+    async def inject_standby(self, instance, fault, duration=6.0):
         if instance.standby_since is not None:
             return
         called_at = instance.standby_since = time.monotonic()
-        if await self.ask(instance, "standby") != "done standby":
+        if await self.call_admin(instance, "standby") != "done standby":
             instance.standby_since = None
             return
-        await asyncio.sleep(span)
+        await asyncio.sleep(duration)
         until = time.monotonic()
         instance.standby_since = None
         self.history.standbys.append(Standby(instance.name, called_at, until, "active"))
-        await self.ask(instance, "active")
+        await self.call_admin(instance, "active")
 
-    async def play_standby_cut(self, instance, fault):
-        """In series, each cut off by the next call."""
+    async def inject_standby_cut(self, instance, fault):
+        """Three standby periods in a row, each ended early by the next call."""
         for number in range(3):
-            await self.play_standby(instance, fault, span=0.1 + fault.span / (number + 1))
+            await self.inject_standby(instance, fault, duration=0.1 + fault.duration / (number + 1))
             await asyncio.sleep(0.2)
 
-    async def play_reload(self, instance, fault):
+    async def inject_reload(self, instance, fault):
         for _ in range(3):
             self.write_config(instance)
             self.signal(instance.processes[-1], signal.SIGHUP)
             await asyncio.sleep(0.1)
 
-    async def play_reload_bad(self, instance, fault):
+    async def inject_reload_bad(self, instance, fault):
         self.write_config(instance, broken=True)
         self.signal(instance.processes[-1], signal.SIGHUP)
         await asyncio.sleep(0.3)
         self.write_config(instance)
 
-    def kill_after(self) -> float:
+    def kill_timeout(self) -> float:
+        """Returns the seconds between SIGTERM and SIGKILL."""
         longest = max(deadline for *_, deadline in self.day.classes)
-        return min(longest, MAX_DEADLINE_BEFORE_KILL) + KILL_MARGIN
+        return min(longest, MAX_DEADLINE_BEFORE_KILL_S) + KILL_MARGIN_S
 
     async def stop_process(self, process):
-        """SIGTERM, then SIGKILL at the page's earliest; clients go on using their connections."""
-        process.told_to_stop_at = time.monotonic()
+        """Sends SIGTERM, then SIGKILL at the earliest time that the operators' page allows.
+
+        Clients go on using their connections.
+        """
+        process.sigterm_at = time.monotonic()
         self.signal(process, signal.SIGTERM)
-        end = process.told_to_stop_at + self.kill_after()
+        end = process.sigterm_at + self.kill_timeout()
         while process.ended_at is None and time.monotonic() < end:
             await asyncio.sleep(0.01)
         self.kill(process)
 
-    async def play_restart(self, instance, fault):
+    async def inject_restart(self, instance, fault):
         process = instance.processes[-1]
-        asyncio.get_event_loop().call_later(0.3, self.let_go, instance)
+        asyncio.get_event_loop().call_later(0.3, self.remove_from_rotation, instance)
         await self.stop_process(process)
         while process.ended_at is None:
             await asyncio.sleep(0.02)
-        await self.start_again(instance)
+        await self.start_replacement(instance)
 
-    async def start_again(self, instance):
+    async def start_replacement(self, instance):
         self.write_config(instance)
         process = await self.start_process(instance)
         if await self.wait_ready(instance, process):
-            instance.is_taken_by_front = True
+            instance.is_in_rotation = True
 
-    async def play_upgrade(self, instance, fault):
+    async def inject_upgrade(self, instance, fault):
         old = instance.processes[-1]
         self.write_config(instance)
         process = await self.start_process(instance)
         if await self.wait_ready(instance, process):
             await self.stop_process(old)
 
-    async def play_kill(self, instance, fault):
+    async def inject_kill(self, instance, fault):
         process = instance.processes[-1]
         self.kill(process)
         while process.ended_at is None:
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.2)
-        await self.start_again(instance)
+        await self.start_replacement(instance)
 
-    async def play_pause(self, instance, fault):
+    async def inject_pause(self, instance, fault):
         process = instance.processes[-1]
-        span = min(fault.span, 1.0)
+        duration = min(fault.duration, 1.0)
         since = time.monotonic()
-        process.pauses.append((since, since + span + 0.2))  # and the moment in which it catches up
+        process.pauses.append((since, since + duration + 0.2))  # 0.2 s more for catching up afterwards
         self.signal(process, signal.SIGSTOP)
-        await asyncio.sleep(span)
+        await asyncio.sleep(duration)
         self.signal(process, signal.SIGCONT)
 
-    async def play_server(self, server, fault):
-        how = server.behaviour
+    async def inject_server(self, server, fault):
+        behaviour = server.behaviour
         kind = fault.kind.removeprefix("server_")
         if kind == "dies":
             if server.kind == "box" and sum(one.is_up for one in self.servers if one.kind == "box") > 2:
-                server.die()
-                self.tell_members(server, "removed")
+                server.terminate()
+                self.publish_server_state(server, "removed")
             return
         if kind == "drains":
             if server.kind != "box" or not server.is_up or server.is_draining:
@@ -405,73 +420,80 @@
             server.is_draining = True
             drain = Drain(server.name, time.monotonic())
             self.history.drains.append(drain)
-            self.tell_members(server, "draining", lambda name, at: drain.received_at.setdefault(name, at))
-            await asyncio.sleep(fault.span + 3)
+            self.publish_server_state(server, "draining", lambda name,
+                                      at: drain.received_at.setdefault(name, at))
+            await asyncio.sleep(fault.duration + 3)
             server.is_draining = False
             if server.is_up:
-                drain.until = time.monotonic()
-                self.tell_members(server, "up")
+                drain.up_again_at = time.monotonic()
+                self.publish_server_state(server, "up")
             return
-        changes = {"hang": ("is_hanging", True), "silent": ("is_silent", True), "busy": ("busy", 0.5), "error": ("error", 0.3),
-                   "reset": ("reset", 0.3), "cut": ("cut", 0.3), "pieces": ("pieces", True), "slow": ("delay", 0.3)}
+        changes = {"hang": ("is_hanging", True), "silent": ("is_silent", True), "busy": ("busy_chance", 0.5),
+                   "error": ("error_chance", 0.3), "reset": ("reset_chance", 0.3), "cut": ("cut_chance", 0.3),
+                   "pieces": ("splits_responses", True), "slow": ("delay", 0.3)}
         attribute, value = changes[kind]
-        setattr(how, attribute, value)
-        await asyncio.sleep(fault.span)
-        setattr(how, attribute, getattr(ServerBehaviour(), attribute))
-        if kind == "silent":  # the machine is back, and knows nothing of its connections
+        setattr(behaviour, attribute, value)
+        await asyncio.sleep(fault.duration)
+        setattr(behaviour, attribute, getattr(ServerBehaviour(), attribute))
+        if kind == "silent":  # the server is back and has lost the state of its connections
             server.reset_connections()
 
-    def tell_members(self, server, state, on_written=lambda name, at: None):
+    def publish_server_state(self, server, state, on_written=lambda name, at: None):
         for instance in self.instances:
             event = {"fleet": {"version": len(instance.watch.events) + 1, "full": False,
-                               "servers": [self.member(server, instance.name, state)]}}
-            instance.watch.tell(event, on_written)
+                               "servers": [self.server_entry(server, instance.name, state)]}}
+            instance.watch.publish(event, on_written)
 
-    async def play_purge(self, instance, fault):
-        object_id = f"{1 + fault.number % 400:016x}" if fault.number % 3 else f"{1 + fault.number % 5:016x}"
+    async def inject_purge(self, instance, fault):
+        object_id = f"{1 + fault.choice % 400:016x}" if fault.choice % 3 else f"{1 + fault.choice % 5:016x}"
         now = time.time()
         purge = Purge(object_id, time.monotonic(), int(now * 1000))
         self.history.purges.append(purge)
         for one in self.instances:
-            one.watch.tell({"invalidate": {"object": object_id, "time": purge.time}},
+            one.watch.publish({"invalidate": {"object": object_id, "time": purge.time}},
                            lambda name, at: purge.received_at.setdefault(name, at))
         for server in self.servers:
             await asyncio.sleep(0.05)
             asyncio.get_event_loop().call_later(self.random.random() * 4, server.purge, object_id)
 
-    async def play_watch_stall(self, instance, fault):
+    async def inject_watch_stall(self, instance, fault):
         instance.watch.is_stalled = True
-        await asyncio.sleep(fault.span)
+        await asyncio.sleep(fault.duration)
         instance.watch.is_stalled = False
 
-    async def play_watch_cut(self, instance, fault):
+    async def inject_watch_cut(self, instance, fault):
         instance.watch.is_down = True
-        instance.watch.cut(fault.number % 2 == 0)
-        await asyncio.sleep(fault.span)
+        instance.watch.cut(fault.choice % 2 == 0)
+        await asyncio.sleep(fault.duration)
         instance.watch.is_down = False
 
-    async def play_clock(self, instance, fault):
-        step = [3600, -3600, 5, -5][fault.number % 4]
+    async def inject_clock(self, instance, fault):
+        """Steps the wall clock of the processes by an hour or by 5 s."""
+        step = [3600, -3600, 5, -5][fault.choice % 4]
         for process in instance.processes:
             struct.pack_into("<q", self.running[process.number][1], 0, step * 1_000_000)
 
-    async def play_calls(self, instance, fault):
-        call = list(CALL_ERRORS)[fault.number % len(CALL_ERRORS)]
-        error = CALL_ERRORS[call][fault.number // 7 % len(CALL_ERRORS[call])]
+    async def inject_calls(self, instance, fault):
+        """Makes the next 1 to 8 calls of one system call fail."""
+        call = list(CALL_ERRORS)[fault.choice % len(CALL_ERRORS)]
+        error = CALL_ERRORS[call][fault.choice // 7 % len(CALL_ERRORS[call])]
         for process in instance.processes:
-            struct.pack_into("<ii", self.running[process.number][1], 8 + 8 * CALLS.index(call), error, 1 + fault.number % 8)
+            struct.pack_into("<ii", self.running[process.number][1], 8 + 8 * CALLS.index(call), error,
+                             1 + fault.choice % 8)
 
-    async def play_crowd(self, instance, fault):
+    async def inject_crowd(self, instance, fault):
+        """Opens 200 connections at once and keeps them idle."""
         writers = []
         try:
             for _ in range(200):
                 _, writer = await asyncio.open_connection(*self.address(instance.name))
                 writers.append(writer)
-            await asyncio.sleep(fault.span)
+            await asyncio.sleep(fault.duration)
         except OSError:
             pass
         for writer in writers:
             writer.close()
 
 
+# Fault kinds that are operations of the operators on an instance.
 OPERATIONS = {"standby", "standby_cut", "reload", "reload_bad", "restart", "upgrade", "kill", "pause"}
