--- a/src/cli/init.cpp
+++ b/src/cli/init.cpp
@@ -11,7 +11,7 @@
 #include "cli/new_file.hpp"
 #include "config/config.hpp"
 #include "front/http/http_front.hpp"
-#include "front/http/new_key.hpp"
+#include "front/http/key_generation.hpp"
 
 extern const std::string_view kExampleGateway;  // deploy/gateway.json
 
@@ -64,7 +64,7 @@
       {path_of("operator_token_file"), NewToken() + "\n"}};
   WriteNewFiles(files);
   try {  // the options may hold invalid values
-    const config::Http config = config::ReadHttp(files[0].first);
+    const config::Gateway config = config::ReadHttp(files[0].first);
     http::ReadKeys(config, config.keys);
     http::ReadSigningKey(config);
   } catch (const config::Error&) {
--- a/src/cli/keys.cpp
+++ b/src/cli/keys.cpp
@@ -8,7 +8,7 @@
 #include "cli/new_file.hpp"
 #include "config/config.hpp"
 #include "front/http/access.hpp"
-#include "front/http/new_key.hpp"
+#include "front/http/key_generation.hpp"
 
 namespace tinspan::cli {
 namespace {
@@ -52,7 +52,7 @@
   http::AccessRules rules{OptionText(values, "origin"), OptionText(values, "audience"), net::Micros{0}};
   std::string keys = OptionText(values, "key"), json;
   if (values.count("operator-file") > 0) {
-    const config::Http config = config::ReadHttp(OptionText(values, "operator-file"));
+    const config::Gateway config = config::ReadHttp(OptionText(values, "operator-file"));
     if (rules.origin.empty()) rules.origin = config.origin;
     if (rules.audience.empty()) rules.audience = config.audience;
     if (keys.empty()) {
@@ -60,7 +60,7 @@
       json = config.keys;
     }
   }
-  if (keys.empty()) throw Usage{"expected --key or --operator-file"};
+  if (keys.empty()) throw UsageError{"expected --key or --operator-file"};
   if (json.empty()) json = config::ReadFile("--key", keys);
   const auto seconds = values["expires"].as<std::uint32_t>();
   return {
@@ -95,7 +95,7 @@
 int RunKeysNew(const Values& values, const std::vector<std::string>&) {
   const std::string name = OptionText(values, "alg");
   if (name != "HS256" && name != "ES256") {
-    throw Usage{"option '--alg': expected HS256 or ES256, not '" + name + "'"};
+    throw UsageError{"option '--alg': expected HS256 or ES256, not '" + name + "'"};
   }
   const std::string key = http::NewKey(name == "HS256" ? http::Algorithm::kHs256 : http::Algorithm::kEs256,
                                        OptionText(values, "id"));
@@ -111,7 +111,7 @@
 
 int RunKeysPublic(const Values&, const std::vector<std::string>& arguments) {
   try {
-    std::cout << http::PublicPart(config::ReadFile("FILE", arguments[0]), arguments[0]) << "\n";
+    std::cout << http::PublicJwks(config::ReadFile("FILE", arguments[0]), arguments[0]) << "\n";
   } catch (const Malformed& malformed) {
     ThrowMalformed(malformed);
   }
@@ -120,9 +120,10 @@
 
 int RunKeysLink(const Values& values, const std::vector<std::string>& arguments) {
   const SigningContext signing = PrepareSigning(values);
-  const auto target = http::ReadTarget(arguments[0]);
-  if (!target || !target->package.empty()) {
-    throw Usage{"TARGET: expected an unambiguous path and query without a signature, such as /scans/a/b.jpg"};
+  const auto target = http::ParseTarget(arguments[0]);
+  if (!target || !target->signed_jwt.empty()) {
+    throw UsageError{
+        "TARGET: expected an unambiguous path and query without a signature, such as /scans/a/b.jpg"};
   }
   std::cout << signing.signer.Link(target->Uri(), net::UnixNow(), signing.expires_at) << "\n";
   return 0;
--- a/src/console/remote.cpp
+++ b/src/console/remote.cpp
@@ -15,7 +15,8 @@
 
 }  // namespace
 
-Remote::Remote(net::EventLoop& loop, const net::Endpoint& endpoint, std::string token, record::Sink& sink)
+Remote::Remote(net::EventLoop& loop, const net::Endpoint& endpoint, std::string token,
+               record::RecordSink& sink)
     : loop_(loop), endpoint_(endpoint), token_(std::move(token)), sink_(sink) {
   SendRequest();
 }
@@ -38,7 +39,7 @@
 void Remote::OnData(net::Connection& connection) {
   const std::string_view unread = connection.Unread();
   http::Head head;
-  const int status = http::ReadResponse(unread, head);
+  const int status = http::ParseResponseHead(unread, head);
   if (status < 0) return;
   std::uint64_t length = 0;
   const auto framing = status == 0 ? http::ResponseFraming(head, false, length) : std::nullopt;
@@ -57,7 +58,7 @@
   std::from_chars(next.data(), next.data() + next.size(), offset);
   ReadSegmentBytes(unread.substr(head.length, length));
   offset_ = offset;
-  const bool should_close = http::HasToken(head.Field("Connection"), "close");
+  const bool should_close = http::ListContainsToken(head.Field("Connection"), "close");
   connection.Consume(head.length + length);
   if (should_close) {
     connection.Close();
@@ -75,8 +76,8 @@
   if (!reader_) return;
   reader_->Feed(bytes);
   for (auto state = reader_->Next(); state != record::SegmentReader::State::kMore; state = reader_->Next()) {
-    if (state == record::SegmentReader::State::kTrouble) {
-      sink_.OnTrouble(reader_->Problem());
+    if (state == record::SegmentReader::State::kError) {
+      sink_.OnReadError(reader_->Error());
       continue;
     }
     const record::wire::Record& record = reader_->Record();
@@ -84,7 +85,7 @@
       name_ = {endpoint_.Text(), record.header().name(), record.header().incarnation(),
                record.header().segment()};
     }
-    sink_.OnRecord(name_, reader_->At(), record);
+    sink_.OnRecord(name_, reader_->Time(), record);
   }
 }
 
--- a/src/front/http/consul.cpp
+++ b/src/front/http/consul_watch.cpp
@@ -1,4 +1,4 @@
-#include "front/http/consul.hpp"
+#include "front/http/consul_watch.hpp"
 
 #include <simdjson.h>
 
@@ -43,7 +43,7 @@
 
 }  // namespace
 
-ConsulWatch::ConsulWatch(net::EventLoop& loop, const config::Http& config,
+ConsulWatch::ConsulWatch(net::EventLoop& loop, const config::Gateway& config,
                          const config::ConsulService& service, ChangeCallback on_change)
     : config_(config),
       service_(service),
@@ -119,7 +119,7 @@
     }
     node.info.id = HashName(node.name);
     node.info.zone = ZoneId{static_cast<std::uint32_t>(zone_position - zones.begin())};
-    node.info.kind = KindId{PlaceOf(config_.site.kinds, service_.kind, "kind")};
+    node.info.kind = KindId{IndexOf(config_.site.kinds, service_.kind, "kind")};
     std::uint64_t weight = 0;
     if (entry.at_pointer("/ServiceWeights/Passing").get(weight) == simdjson::SUCCESS && weight > 0) {
       node.info.weight = static_cast<double>(weight);
--- a/src/front/http/http_front.hpp
+++ b/src/front/http/http_front.hpp
@@ -6,10 +6,10 @@
 #include <vector>
 
 #include "front/http/access.hpp"
-#include "front/http/clients.hpp"
-#include "front/http/consul.hpp"
-#include "front/http/upstream.hpp"
-#include "front/ops/door.hpp"
+#include "front/http/consul_watch.hpp"
+#include "front/http/downstream_connections.hpp"
+#include "front/http/upstream_connections.hpp"
+#include "front/ops/admin_listener.hpp"
 #include "front/runner.hpp"
 
 namespace tinspan::http {
@@ -19,15 +19,15 @@
 class HttpFront final : public front::Front {
  public:
   /// Throws config::Error if the keys are invalid, and std::system_error if listening fails.
-  HttpFront(net::EventLoop& loop, const config::Http& config, core::RequestCoordinator& coordinator,
+  HttpFront(net::EventLoop& loop, const config::Gateway& config, core::RequestCoordinator& coordinator,
             std::vector<core::Event>& events);
 
   void Execute(net::Micros now, const core::Command& command) override;
   void EndRound(net::Micros now) override;
-  net::Micros LongestDeadline() const override { return config_.longest; }
+  net::Micros LongestDeadline() const override { return config_.longest_deadline; }
   void Drain(const core::DrainTimetable& timetable) override {
     if (attached_.on_drain) attached_.on_drain();
-    service_.Stopping();
+    service_.MarkStopping();
     downstream_.Drain(timetable);
   }
   /// Reads the key set again, which allows key rotation.
@@ -38,7 +38,7 @@
   std::uint16_t Port() const { return downstream_.Port(); }
   /// Port of the admin listener, if there is one.
   std::optional<std::uint16_t> OpsPort() const {
-    return ops_listener_ ? std::optional<std::uint16_t>(ops_listener_->Port()) : std::nullopt;
+    return admin_listener_ ? std::optional<std::uint16_t>(admin_listener_->Port()) : std::nullopt;
   }
   /// Connects the services that are attached to this front.
   void SetAttachedServices(front::AttachedServices attached) {
@@ -51,7 +51,7 @@
  private:
   void Complete(const core::CompleteRequest& completion);
 
-  const config::Http& config_;
+  const config::Gateway& config_;
   AccessVerifier verifier_;
   Signer signer_;
   DownstreamConnections downstream_;
@@ -59,14 +59,14 @@
   std::vector<std::unique_ptr<ConsulWatch>> watches_;
   std::size_t unlisted_services_;  // number of services without a list from Consul yet
   ops::Service service_{false};    // serving once Consul has listed every service; without standby
-  ops::Views views_;
+  ops::AdminViews views_;
   front::AttachedServices attached_;
-  std::optional<front::OpsDoor> ops_listener_;
+  std::optional<front::AdminListener> admin_listener_;
 };
 
 /// Parses a JWK set. Throws config::Error if it is invalid.
-KeySet ReadKeys(const config::Http& config, std::string_view json);
+KeySet ReadKeys(const config::Gateway& config, std::string_view json);
 /// Parses the configured signing key. Throws config::Error if it is invalid or has no private part.
-Key ReadSigningKey(const config::Http& config);
+Key ReadSigningKey(const config::Gateway& config);
 
 }  // namespace tinspan::http
--- a/src/front/http/upstream.cpp
+++ b/src/front/http/upstream_connections.cpp
@@ -1,4 +1,4 @@
-#include "front/http/upstream.hpp"
+#include "front/http/upstream_connections.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -12,10 +12,10 @@
 // Reading from a server pauses while more bytes than this wait for its client, and resumes at half of it.
 constexpr std::size_t kReadPauseBacklogBytes = 256 << 10;
 
-net::ConnectionPoolOptions PoolOptions(const config::Http& config) {
+net::ConnectionPoolOptions PoolOptions(const config::Gateway& config) {
   net::ConnectionPoolOptions options;
   options.connect_timeout = config.connect_timeout;
-  options.idle_timeout = config.idle_close * 3 / 4;
+  options.idle_timeout = config.idle_timeout * 3 / 4;
   options.max_streams = 1;
   options.limits = {.max_read_bytes = 64 << 10, .max_write_bytes = 2 << 20};
   return options;
@@ -51,12 +51,12 @@
                                           "Proxy-Authenticate", "Upgrade", "WWW-Authenticate"}) {
     if (EqualsIgnoreCase(stripped, name)) return true;
   }
-  return HasToken(connection, name);
+  return ListContainsToken(connection, name);
 }
 
 }  // namespace
 
-UpstreamConnections::UpstreamConnections(net::EventLoop& loop, const config::Http& config,
+UpstreamConnections::UpstreamConnections(net::EventLoop& loop, const config::Gateway& config,
                                          core::RequestCoordinator& coordinator,
                                          DownstreamConnections& downstream, const Signer& signer,
                                          std::vector<core::Event>& events)
@@ -236,7 +236,7 @@
 bool UpstreamConnections::ReadResponseHead(PooledConnection& pooled) {
   UpstreamConnectionState& state = pooled.state;
   Head head;
-  const int status = ReadResponse(pooled.connection.Unread(), head);
+  const int status = ParseResponseHead(pooled.connection.Unread(), head);
   if (status < 0) return false;
   if (status > 0) {
     FailExchange(pooled, Outcome::kError);
@@ -257,7 +257,7 @@
   }
   state.has_response_head = true;
   const std::string_view connection = head.Field("Connection");
-  state.can_reuse = !HasToken(connection, "close");
+  state.can_reuse = !ListContainsToken(connection, "close");
   state.body.Start(*framing, length);
   state.fill_note = FillNoteOf(head.Field("Cache-Status"));
   PendingRequest* const request = downstream_.Find(state.request_id);
@@ -313,7 +313,7 @@
         ProcessInput(pooled);
       }
     } else if (state.is_in_use && state.has_response_head && !pooled.connection.IsClosed() &&
-               now - pooled.connection.LastActivityAt() > config_.stall) {
+               now - pooled.connection.LastActivityAt() > config_.stall_timeout) {
       pooled.connection.Close();  // the response has stalled
       FailExchange(pooled, Outcome::kReset);
     }
--- a/src/front/platform/downstream_connections.cpp
+++ b/src/front/platform/downstream_connections.cpp
@@ -310,7 +310,7 @@
 // Closes lingering clients that have closed their side or whose linger timeout has expired. The number of
 // lingering clients is bounded, since each holds a descriptor; the oldest are closed first.
 void DownstreamConnections::CloseLingeringClients(Micros now) {
-  const std::size_t max_lingering = config_.limits.PartingSockets();
+  const std::size_t max_lingering = config_.limits.LingeringSockets();
   std::size_t excess = lingering_.size() > max_lingering ? lingering_.size() - max_lingering : 0;
   std::erase_if(lingering_, [&](const LingeringClient& lingering) {
     const auto found = clients_.find(lingering.id);
@@ -408,10 +408,10 @@
     const net::Connection& connection = *client.connection;
     if (connection.IsClosed() || connection.IsLingering()) continue;
     const core::EndDecision decision = core::DecideEnd(*drain_, client.Activity(), now);
-    ScheduleDrainCheck(now, decision.ask_again_at);
-    if (now >= drain_->close_by) ++client.looks_past_close;
+    ScheduleDrainCheck(now, decision.recheck_at);
+    if (now >= drain_->close_by) ++client.checks_past_close;
     if (decision.reason == core::EndReason::kNone) continue;
-    const bool is_idle = decision.reason == core::EndReason::kRested;
+    const bool is_idle = decision.reason == core::EndReason::kIdle;
     Linger(client, now, is_idle ? ClientCloseReason::kDrained : ClientCloseReason::kDrainDeadline);
   }
 }
