--- a/src/front/platform/downstream_connections.cpp
+++ b/src/front/platform/downstream_connections.cpp
@@ -204,8 +204,7 @@
   const auto number = static_cast<std::uint64_t>(call->received.id);
   log::Debug("request.received",
              {{"request", number}, {"client", client.connection->id}, {"ref", call->request.reference}},
-             "request {} (reference {}) received from client {}", number, call->request.reference,
-             client.connection->id);
+             "request {} ({}) from client {}", number, call->request.reference, client.connection->id);
   client.requests.emplace(call->request.tag, call->received.id);
   requests_.Add(call->received.id, std::move(call->request));
   events_.emplace_back(call->received);
--- a/src/front/platform/platform_front.cpp
+++ b/src/front/platform/platform_front.cpp
@@ -106,7 +106,7 @@
     const auto request = static_cast<std::uint64_t>(start->action.id);
     const auto server = static_cast<std::uint64_t>(start->action.server);
     log::Debug("attempt.started", {{"request", request}, {"attempt", start->attempt}, {"server", server}},
-               "request {}: attempt {} started on server {}", request, start->attempt, server);
+               "request {}: attempt {} to server {}", request, start->attempt, server);
     upstream_.Execute(now, *start);
   } else if (const auto* const abort = std::get_if<core::AbortAttempt>(&command)) {
     upstream_.Execute(now, *abort);
@@ -121,7 +121,7 @@
   const auto request = static_cast<std::uint64_t>(command.id);
   log::Debug("request.completed",
              {{"request", request}, {"status", Name(command.status)}, {"reason", Name(command.reason)}},
-             "request {}: completed as {} (reason: {})", request, Name(command.status), Name(command.reason));
+             "request {}: {} ({})", request, Name(command.status), Name(command.reason));
   if (command.reason == core::CompletionReason::kDeadline) ++failed_deadline_count_;
   switch (command.status) {
     case core::CompletionStatus::kServed:
